--- a/crates/dillmill-core/src/agent_table.rs
+++ b/crates/dillmill-core/src/agent_table.rs
@@ -14,7 +14,7 @@
 
 /// Agents that remember the owner of a flow besides the owner itself: two, so that the loss of one loses no
 /// answer.
-pub const DIRECTORY_COPIES: usize = 2;
+pub const DIRECTORY_REPLICAS: usize = 2;
 /// Directories that a search asks: where one process takes a living agent for suspect and another does not, the
 /// records lie one place further.
 const DIRECTORIES_ASKED: usize = 4;
@@ -140,7 +140,7 @@
 
     /// Marks the agents of data centres that are to get no new flows.
     #[must_use]
-    pub fn evacuating(mut self, evacuations: &Evacuations) -> Self {
+    pub fn with_evacuations(mut self, evacuations: &Evacuations) -> Self {
         let seeds: Vec<u64> = evacuations.zones().map(zone_seed).collect();
         if seeds.is_empty() {
             return self;
@@ -229,7 +229,7 @@
     /// Returns the agents that remember the owner of `flow`: of all services, so that a route that
     /// moves to another service changes nothing.
     pub fn directory(&self, flow: &FlowTuple) -> impl Iterator<Item = &AgentEntry> {
-        self.directories(flow).take(DIRECTORY_COPIES)
+        self.directories(flow).take(DIRECTORY_REPLICAS)
     }
 
     /// Returns whether `process` is among the agents that remember the owner of `flow`.
@@ -309,14 +309,14 @@
     /// One that has never heard from a target has no flows that anybody could miss.
     #[must_use]
     pub fn may_miss(&self, flow: &FlowTuple, services: &[ServiceTag]) -> bool {
-        let mut remember = self.ring_from(flow).take(DIRECTORY_COPIES).peekable();
+        let mut remember = self.ring_from(flow).take(DIRECTORY_REPLICAS).peekable();
         let forgotten = remember.peek().is_some() && remember.all(|a| !a.answers());
         forgotten || self.visited(services).iter().any(|a| !a.answers() && a.slots > 0)
     }
 
     /// Returns whether an agent is older than a process that started at `started`, beyond what clocks differ.
     #[must_use]
-    pub fn any_older(&self, started: Timestamp) -> bool {
+    pub fn any_started_before(&self, started: Timestamp) -> bool {
         self.first_start.is_some_and(|first| started.since(first) > STARTED_APART)
     }
 }
--- a/crates/dillmill-core/src/directory_catch_up.rs
+++ b/crates/dillmill-core/src/directory_catch_up.rs
@@ -38,7 +38,7 @@
             return;
         }
         self.begun = true;
-        if !agents.any_older(since) {
+        if !agents.any_started_before(since) {
             return;
         }
         let others = agents.iter().filter(|a| a.process != me);
--- a/crates/dillmill-core/src/envelope.rs
+++ b/crates/dillmill-core/src/envelope.rs
@@ -8,7 +8,7 @@
 
 /// Why a packet is sent to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Errand {
+pub enum PacketPurpose {
     /// It opens a flow, and the agent is to have its target take it.
     Place {
         /// Agents that have passed it on already.
@@ -88,5 +88,5 @@
     /// Control address of the balancer that took it from the caller.
     pub origin: SocketAddrV4,
     /// Why it is sent.
-    pub errand: Errand,
+    pub purpose: PacketPurpose,
 }
--- a/crates/dillmill-core/src/flow_gate.rs
+++ b/crates/dillmill-core/src/flow_gate.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use crate::cold_start::ColdStart;
-use crate::envelope::{Envelope, Errand};
+use crate::envelope::{Envelope, PacketPurpose};
 use crate::flow_directory::{FlowDirectory, FlowRecord};
 use crate::generations::Generations;
 use crate::open_queue::OpenQueue;
@@ -26,8 +26,8 @@
 
 mod answered;
 mod arrival;
+mod context;
 mod finding;
-mod known;
 mod lookup;
 mod opening;
 mod run_change;
@@ -37,7 +37,7 @@
 
 pub use answered::Answered;
 use arrival::Arrival;
-pub use known::Known;
+pub use context::GateContext;
 pub use run_change::RunChange;
 pub use verdict::{PassReason, RefuseReason, TargetPresence, TargetStanding, Verdict};
 use waiting::TakenOpen;
@@ -148,26 +148,25 @@
         &mut self,
         seg: &Segment,
         env: &Envelope,
-        known: Known<'_>,
+        context: GateContext<'_>,
         now: Timestamp,
     ) -> Verdict {
-        let arrival = Arrival { seg, env, known, now };
-        match (&env.errand, seg.kind) {
-            (Errand::Place { passed }, SegmentKind::Open { copies }) => {
+        let arrival = Arrival { seg, env, context, now };
+        match (&env.purpose, seg.kind) {
+            (PacketPurpose::Place { passed }, SegmentKind::Open { copies }) => {
                 if self.opens.note_copy(&seg.flow, copies) {
                     return Verdict::Drop;
                 }
                 self.place(arrival, copies, passed)
             }
-            (Errand::Place { .. }, _) | (_, SegmentKind::Open { .. } | SegmentKind::Accept) => {
-                Verdict::Drop
-            }
-            (errand, _) => self.find(arrival, errand.into()),
+            (PacketPurpose::Place { .. }, _)
+            | (_, SegmentKind::Open { .. } | SegmentKind::Accept) => Verdict::Drop,
+            (purpose, _) => self.find(arrival, purpose.into()),
         }
     }
 
     /// Decides on a packet that the target has given back.
-    pub fn returned(&mut self, seg: &Segment, known: Known<'_>, now: Timestamp) -> Verdict {
+    pub fn returned(&mut self, seg: &Segment, context: GateContext<'_>, now: Timestamp) -> Verdict {
         let trial = usize::try_from(seg.mark)
             .ok()
             .and_then(|mark| mark.checked_sub(1))
@@ -179,7 +178,7 @@
         self.not_held.insert(seg.flow, (), now);
         match (ended, trial) {
             (Some(caller_expects), _) => Verdict::Ended { caller_expects },
-            (None, Some(env)) => self.after_trial(Arrival { seg, env: &env, known, now }),
+            (None, Some(env)) => self.after_trial(Arrival { seg, env: &env, context, now }),
             (None, None) => Verdict::Drop,
         }
     }
--- a/crates/dillmill-core/src/flow_gate/arrival.rs
+++ b/crates/dillmill-core/src/flow_gate/arrival.rs
@@ -1,4 +1,4 @@
-use super::Known;
+use super::GateContext;
 use crate::envelope::Envelope;
 use crate::route_table::RouteEntry;
 use crate::segment::Segment;
@@ -9,14 +9,14 @@
 pub(super) struct Arrival<'a> {
     pub(super) seg: &'a Segment,
     pub(super) env: &'a Envelope,
-    pub(super) known: Known<'a>,
+    pub(super) context: GateContext<'a>,
     pub(super) now: Timestamp,
 }
 
 impl Arrival<'_> {
     /// Returns the services that may hold the flow.
     pub(super) fn services(&self) -> Vec<ServiceTag> {
-        let route = self.known.routes.get(self.seg.flow.route());
+        let route = self.context.routes.get(self.seg.flow.route());
         let mut services = route.map_or_else(Vec::new, RouteEntry::services);
         if !services.contains(&self.env.service) {
             services.push(self.env.service);
--- a/crates/dillmill-core/src/flow_gate/known.rs
+++ b/crates/dillmill-core/src/flow_gate/context.rs
@@ -3,7 +3,7 @@
 
 /// What a decision rests on besides the gate's own state.
 #[derive(Debug, Clone, Copy)]
-pub struct Known<'a> {
+pub struct GateContext<'a> {
     /// Agents that are not known to be down.
     pub agents: &'a AgentTable,
     /// Routes in force.
--- a/crates/dillmill-core/src/flow_gate/finding.rs
+++ b/crates/dillmill-core/src/flow_gate/finding.rs
@@ -6,7 +6,7 @@
     Arrival, FlowGate, PassReason, RefuseReason, TRIALS, TargetPresence, TargetStanding, Verdict,
 };
 use crate::FlowCoverage;
-use crate::envelope::{Envelope, Errand, Search, SearchPlace, SearchScope};
+use crate::envelope::{Envelope, PacketPurpose, Search, SearchPlace, SearchScope};
 use crate::segment::SegmentKind;
 use crate::target_flows::Fit;
 
@@ -35,7 +35,7 @@
 
     /// Decides on a packet of a flow that should be open somewhere, whatever the target has to do.
     pub(super) fn find_now(&mut self, arrival: Arrival<'_>, lookup: Lookup) -> Verdict {
-        let Arrival { seg, env, known, now } = arrival;
+        let Arrival { seg, env, context, now } = arrival;
         let fit = self.flows.note_caller(seg, self.slots, now);
         if let Fit::Ours { further } = fit {
             if further {
@@ -46,9 +46,9 @@
         if let Some(verdict) = self.direct(arrival, lookup) {
             return verdict;
         }
-        let lookup = if known.settled { lookup } else { lookup.unsure() };
-        let told = known.settled && known.told;
-        let told = told && known.agents.is_directory(&seg.flow, self.me);
+        let lookup = if context.settled { lookup } else { lookup.unsure() };
+        let told = context.settled && context.told;
+        let told = told && context.agents.is_directory(&seg.flow, self.me);
         let lookup = if told { lookup.told() } else { lookup };
         let may_hold = fit == Fit::Unknown
             && self.coverage(now) == FlowCoverage::Partial
@@ -66,36 +66,36 @@
             // A search that proves nothing is about flows that run, and such a target has hardly any yet.
             return self.search_on(arrival, lookup);
         }
-        let errand = Errand::Search(lookup.search);
-        let mark = self.begin_trial(Envelope { errand, ..env.clone() });
+        let purpose = PacketPurpose::Search(lookup.search);
+        let mark = self.begin_trial(Envelope { purpose, ..env.clone() });
         Verdict::Deliver { mark, tell: None }
     }
 
     /// Passes a packet to the agent that a record names as the owner of its flow.
     fn direct(&mut self, arrival: Arrival<'_>, lookup: Lookup) -> Option<Verdict> {
-        let Arrival { seg, env, known, now } = arrival;
+        let Arrival { seg, env, context, now } = arrival;
         if lookup.directed >= DIRECTIONS {
             return None;
         }
         let record = self.directory.owner(&seg.flow, seg.ack, now)?;
-        if record.data == self.data || known.agents.at(record.data).is_none() {
+        if record.data == self.data || context.agents.at(record.data).is_none() {
             return None;
         }
-        let errand = Errand::Directed { search: lookup.search, times: lookup.directed + 1 };
-        let envelope = Envelope { errand, ..env.clone() };
+        let purpose = PacketPurpose::Directed { search: lookup.search, times: lookup.directed + 1 };
+        let envelope = Envelope { purpose, ..env.clone() };
         Some(Verdict::Pass { to: record.data, envelope, reason: PassReason::Directed })
     }
 
     /// Sends a packet to the next agent in the order of search.
     pub(super) fn search_on(&self, arrival: Arrival<'_>, lookup: Lookup) -> Verdict {
-        let Arrival { seg, env, known, .. } = arrival;
+        let Arrival { seg, env, context, .. } = arrival;
         let services = arrival.services();
         let me = Some(self.me);
         let so_far = lookup.search;
-        if usize::from(so_far.steps) >= known.agents.len() + SPARE_STEPS {
+        if usize::from(so_far.steps) >= context.agents.len() + SPARE_STEPS {
             return Verdict::Drop;
         }
-        let next = known.agents.next_in_search(&seg.flow, &services, so_far.place, me);
+        let next = context.agents.next_in_search(&seg.flow, &services, so_far.place, me);
         let in_scope = |place: SearchPlace| match so_far.scope {
             SearchScope::All => true,
             SearchScope::Directories => matches!(place, SearchPlace::Directory(_)),
@@ -103,10 +103,10 @@
         match next.filter(|(place, _)| in_scope(*place)) {
             Some((place, agent)) => {
                 let search = Search { place: Some(place), steps: so_far.steps + 1, ..so_far };
-                let envelope = Envelope { errand: Errand::Search(search), ..env.clone() };
+                let envelope = Envelope { purpose: PacketPurpose::Search(search), ..env.clone() };
                 Verdict::Pass { to: agent.data, envelope, reason: PassReason::Search }
             }
-            None if so_far.proves() && !known.agents.may_miss(&seg.flow, &services) => {
+            None if so_far.proves() && !context.agents.may_miss(&seg.flow, &services) => {
                 Verdict::Missing { origin: env.origin }
             }
             None => Verdict::Drop,
@@ -121,8 +121,8 @@
 
     pub(super) fn after_trial(&mut self, arrival: Arrival<'_>) -> Verdict {
         let Arrival { seg, env, .. } = arrival;
-        match (&env.errand, seg.kind) {
-            (Errand::Place { passed, .. }, SegmentKind::Open { .. }) => {
+        match (&env.purpose, seg.kind) {
+            (PacketPurpose::Place { passed, .. }, SegmentKind::Open { .. }) => {
                 let reason = PassReason::Returned;
                 let refused = self.refuse(RefuseReason::NoTarget, env, passed);
                 if passed.len() > PLACE_HOPS {
@@ -130,10 +130,10 @@
                 }
                 self.pass_on(arrival, env.service, passed, reason).unwrap_or(refused)
             }
-            (errand @ (Errand::Search(_) | Errand::Deliver), kind)
+            (purpose @ (PacketPurpose::Search(_) | PacketPurpose::Deliver), kind)
                 if !matches!(kind, SegmentKind::Open { .. }) =>
             {
-                self.search_on(arrival, errand.into())
+                self.search_on(arrival, purpose.into())
             }
             _ => Verdict::Drop,
         }
--- a/crates/dillmill-core/src/flow_gate/lookup.rs
+++ b/crates/dillmill-core/src/flow_gate/lookup.rs
@@ -1,6 +1,6 @@
 //! How a packet of an open flow came to an agent.
 
-use crate::envelope::{Errand, Search};
+use crate::envelope::{PacketPurpose, Search};
 
 /// What is known of the way of a packet whose flow should be open somewhere.
 #[derive(Debug, Clone, Copy)]
@@ -29,18 +29,18 @@
     }
 }
 
-impl From<&Errand> for Lookup {
-    fn from(errand: &Errand) -> Self {
-        let (search, directed) = match *errand {
-            Errand::Place { .. } | Errand::Deliver => (Search::default(), 0),
-            Errand::Search(search) => (search, 0),
-            Errand::Directed { search, times } => (search, times),
+impl From<&PacketPurpose> for Lookup {
+    fn from(purpose: &PacketPurpose) -> Self {
+        let (search, directed) = match *purpose {
+            PacketPurpose::Place { .. } | PacketPurpose::Deliver => (Search::default(), 0),
+            PacketPurpose::Search(search) => (search, 0),
+            PacketPurpose::Directed { search, times } => (search, times),
         };
         Self {
             search,
             directed,
-            searched: matches!(errand, Errand::Search(_) | Errand::Directed { .. }),
-            claimed: !matches!(errand, Errand::Search(_)),
+            searched: matches!(purpose, PacketPurpose::Search(_) | PacketPurpose::Directed { .. }),
+            claimed: !matches!(purpose, PacketPurpose::Search(_)),
         }
     }
 }
--- a/crates/dillmill-core/src/flow_gate/opening.rs
+++ b/crates/dillmill-core/src/flow_gate/opening.rs
@@ -5,7 +5,7 @@
 
 use super::{Arrival, FlowGate, PassReason, RefuseReason, Verdict};
 use crate::agent_table::AgentEntry;
-use crate::envelope::{Envelope, Errand};
+use crate::envelope::{Envelope, PacketPurpose};
 use crate::flow_directory::FlowRecord;
 use crate::open_queue::{WaitTerms, wait_limit};
 use crate::route_table::RouteTable;
@@ -51,8 +51,8 @@
                 return verdict;
             }
             if wait {
-                let errand = Errand::Place { passed: Vec::new() };
-                let envelope = Envelope { errand, ..env.clone() };
+                let purpose = PacketPurpose::Place { passed: Vec::new() };
+                let envelope = Envelope { purpose, ..env.clone() };
                 return Verdict::Wait { terms, envelope, tell: tell(env, passed) };
             }
         }
@@ -67,8 +67,8 @@
 
     /// Decides on an opening packet that the target can't take, however little it has to do.
     fn place_elsewhere(&mut self, arrival: Arrival<'_>, passed: &[ProcessId]) -> Option<Verdict> {
-        let Arrival { seg, env, known, now } = arrival;
-        let Some(service) = service_now(seg, env, known.routes) else {
+        let Arrival { seg, env, context, now } = arrival;
+        let Some(service) = service_now(seg, env, context.routes) else {
             return Some(self.refuse(RefuseReason::NoRoute, env, passed));
         };
         if service != self.service {
@@ -106,7 +106,7 @@
     }
 
     pub(super) fn wait_terms(&self, arrival: Arrival<'_>, copies: u32) -> WaitTerms {
-        let route = arrival.known.routes.get(arrival.seg.flow.route());
+        let route = arrival.context.routes.get(arrival.seg.flow.route());
         let (timeout, repeatable) = route.map_or((None, false), |r| (r.timeout, r.repeatable));
         let patience = patience::assumed(timeout, repeatable);
         WaitTerms::new(copies, self.time_limit(arrival), arrival.now)
@@ -116,7 +116,7 @@
 
     /// Returns the time that a request may wait for its answer to come within the aim of its route.
     fn time_limit(&self, arrival: Arrival<'_>) -> Duration {
-        let route = arrival.known.routes.get(arrival.seg.flow.route());
+        let route = arrival.context.routes.get(arrival.seg.flow.route());
         let aim = route.and_then(|route| route.latency_aim);
         aim.map_or(self.flows.work() * ROUNDS, wait_limit)
     }
@@ -144,14 +144,14 @@
         passed: &[ProcessId],
         reason: PassReason,
     ) -> Option<Verdict> {
-        let Arrival { seg, env, known, now } = arrival;
+        let Arrival { seg, env, context, now } = arrival;
         let fresh =
             |a: &&AgentEntry| a.process != self.me && !passed.contains(&a.process) && a.slots > 0;
         // What has turned cold is mostly a whole data centre.
         let anywhere = reason == PassReason::Cold;
         let rank = |a: &&AgentEntry| (a.near || anywhere, seg.flow.score(a.process.0));
         let reached = |a: &&AgentEntry| a.near || reason != PassReason::Full;
-        let open = known.agents.taking_new(service).filter(fresh);
+        let open = context.agents.taking_new(service).filter(fresh);
         let next = open.filter(reached).max_by_key(rank)?;
         let record = FlowRecord {
             flow: seg.flow,
@@ -163,7 +163,8 @@
         self.directory.register(record, now);
         let mut passed = passed.to_vec();
         passed.push(self.me);
-        let envelope = Envelope { service, errand: Errand::Place { passed }, ..env.clone() };
+        let envelope =
+            Envelope { service, purpose: PacketPurpose::Place { passed }, ..env.clone() };
         Some(Verdict::Pass { to: next.data, envelope, reason })
     }
 }
--- a/crates/dillmill-core/src/flow_gate/target.rs
+++ b/crates/dillmill-core/src/flow_gate/target.rs
@@ -58,7 +58,7 @@
 
     /// The target has spoken before the agent's start, whatever an attempt to connect has shown: it may hold
     /// flows that the agent has not seen.
-    pub fn target_is_older(&mut self) {
+    pub fn note_older_target(&mut self) {
         self.sees_all = false;
     }
 
--- a/crates/dillmill-core/src/flow_gate/waiting.rs
+++ b/crates/dillmill-core/src/flow_gate/waiting.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Arrival, FlowGate, Known, RefuseReason, Verdict};
+use super::{Arrival, FlowGate, GateContext, RefuseReason, Verdict};
 use crate::envelope::Envelope;
 use crate::open_queue::{WaitTerms, WaitingOpen};
 use crate::segment::{Segment, SegmentKind};
@@ -98,18 +98,18 @@
     }
 
     /// Decides on a packet that has its turn, by what is known now.
-    pub fn has_turn(
+    pub fn decide_waiting(
         &mut self,
         seg: &Segment,
         env: &Envelope,
-        known: Known<'_>,
+        context: GateContext<'_>,
         now: Timestamp,
     ) -> Verdict {
         match seg.kind {
             SegmentKind::Open { copies } => {
-                self.place_waiting(Arrival { seg, env, known, now }, copies)
+                self.place_waiting(Arrival { seg, env, context, now }, copies)
             }
-            _ => self.find_now(Arrival { seg, env, known, now }, (&env.errand).into()),
+            _ => self.find_now(Arrival { seg, env, context, now }, (&env.purpose).into()),
         }
     }
 }
--- a/crates/dillmill-core/src/flow_placement.rs
+++ b/crates/dillmill-core/src/flow_placement.rs
@@ -18,7 +18,7 @@
 /// is due within a tick of the agent (100 ms) and a round trip; the rest is for thin VMs.
 const ANSWER_LIMIT: Duration = Duration::from_millis(230);
 /// Time between two reports of an agent to one balancer.
-pub const REPORT_EVERY: Duration = Duration::from_millis(50);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between two questions to an agent that does not answer.
 const ASK_EVERY: Duration = Duration::from_millis(300);
 /// Load in use that a flow is sent to another data centre to avoid, in thousandths of the slots:
@@ -129,7 +129,7 @@
     }
 
     /// Counts all silence from `now` on: the balancer itself was paused.
-    pub fn forgive(&mut self, now: Timestamp) {
+    pub fn reset_silence(&mut self, now: Timestamp) {
         for load in self.loads.values_mut() {
             load.unanswered = load.unanswered.map(|_| now);
         }
@@ -151,7 +151,7 @@
     }
 
     /// Returns the control addresses of silent agents that are due to be asked.
-    pub fn to_ask(&mut self, now: Timestamp) -> Vec<SocketAddrV4> {
+    pub fn take_probes_due(&mut self, now: Timestamp) -> Vec<SocketAddrV4> {
         let mut due = Vec::new();
         for load in self.loads.values_mut() {
             let silent = load.unanswered.is_some_and(|since| now.since(since) >= ANSWER_LIMIT);
--- a/crates/dillmill-core/src/lib.rs
+++ b/crates/dillmill-core/src/lib.rs
@@ -87,7 +87,7 @@
 pub use cold_start::ColdStart;
 pub use directory_catch_up::DirectoryCatchUp;
 pub use early_packets::{EarlyPacket, EarlyPackets};
-pub use envelope::{Envelope, Errand, Search, SearchPlace, SearchScope};
+pub use envelope::{Envelope, PacketPurpose, Search, SearchPlace, SearchScope};
 pub use evacuations::{EvacuationChange, Evacuations};
 pub use event::{Event, EventKind, EventLog};
 pub use flow_directory::{FlowDirectory, FlowRecord};
--- a/crates/dillmill-core/src/owner_cache.rs
+++ b/crates/dillmill-core/src/owner_cache.rs
@@ -13,10 +13,10 @@
 /// A second proof that nobody holds a flow counts only this much later than the first, so that one
 /// search that met a stale view breaks nothing: news of agents takes some 10 ms, a record of a new flow
 /// up to 50 ms.
-pub const MISSING_AGAIN: Duration = Duration::from_millis(50);
+pub const MISSING_CONFIRM_DELAY: Duration = Duration::from_millis(50);
 /// The same in the first seconds of a balancer, when all may have started: agents that do not know each other yet leave
 /// their records where others do not look.
-pub const MISSING_AGAIN_YOUNG: Duration = Duration::from_millis(250);
+pub const MISSING_CONFIRM_DELAY_AT_START: Duration = Duration::from_millis(250);
 
 /// What a balancer remembers of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/dillmill-core/src/pending_searches.rs
+++ b/crates/dillmill-core/src/pending_searches.rs
@@ -96,7 +96,7 @@
     ///
     /// After a restart of everything no search is sure at first. Callers who have sent their last packet before they give
     /// up wait until one is; the next repeat of an early search may come behind their deadline.
-    pub fn begin_again(&mut self, now: Timestamp) {
+    pub fn restart_repeats(&mut self, now: Timestamp) {
         for (_, pending) in self.pending.iter_mut() {
             pending.repeats = 0;
             pending.due = now + REPEAT_AFTER;
--- a/crates/dillmill-core/src/registrations.rs
+++ b/crates/dillmill-core/src/registrations.rs
@@ -50,12 +50,12 @@
     }
 
     /// Adds the records of open flows whose directories differ between two tables.
-    pub fn moved(&mut self, open: Vec<FlowRecord>, before: &AgentTable, after: &AgentTable) {
-        let moved = |record: &FlowRecord| {
+    pub fn push_moved(&mut self, open: Vec<FlowRecord>, before: &AgentTable, after: &AgentTable) {
+        let push_moved = |record: &FlowRecord| {
             let [before, after] = [before, after].map(|t| t.directory(&record.flow));
             !before.map(|a| a.process).eq(after.map(|a| a.process))
         };
-        self.pending.extend(open.into_iter().filter(moved));
+        self.pending.extend(open.into_iter().filter(push_moved));
     }
 
     /// Returns the new records, for the directories other than `me`.
@@ -79,7 +79,7 @@
     }
 
     /// Returns those of the `accepted` flows that the directory at `to` is to remember, or may be asked for.
-    pub fn tell(
+    pub fn records_for(
         &mut self,
         accepted: Vec<FlowRecord>,
         agents: &AgentTable,
--- a/crates/dillmill-core/tests/cold_starts.rs
+++ b/crates/dillmill-core/tests/cold_starts.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use dillmill_core::flow_gate::{Known, PassReason, TargetStanding, Verdict};
+use dillmill_core::flow_gate::{GateContext, PassReason, TargetStanding, Verdict};
 use dillmill_core::open_queue::WaitingOpen;
 use dillmill_core::placement::LoadReport;
 use dillmill_core::target_runs::Predecessor;
 use dillmill_core::{
-    AgentTable, ColdLoad, ColdStart, Envelope, Errand, FlowGate, FlowPlacement, FlowTuple, Member,
-    ProcessId, Revision, Role, RouteEntry, RouteTable, Segment, SegmentKind, ServiceTag,
-    TargetPace, Timestamp, Weight,
+    AgentTable, ColdLoad, ColdStart, Envelope, FlowGate, FlowPlacement, FlowTuple, Member,
+    PacketPurpose, ProcessId, Revision, Role, RouteEntry, RouteTable, Segment, SegmentKind,
+    ServiceTag, TargetPace, Timestamp, Weight,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -110,12 +110,12 @@
     Segment { flow: flow(port), kind, seq, ack, len, returned: false, mark: 0 }
 }
 
-fn envelope(errand: Errand) -> Envelope {
-    Envelope { service: orders(), revision: Revision(1), origin: addr(9, 7000), errand }
+fn envelope(purpose: PacketPurpose) -> Envelope {
+    Envelope { service: orders(), revision: Revision(1), origin: addr(9, 7000), purpose }
 }
 
 fn place() -> Envelope {
-    envelope(Errand::Place { passed: Vec::new() })
+    envelope(PacketPurpose::Place { passed: Vec::new() })
 }
 
 fn routes() -> RouteTable {
@@ -143,7 +143,7 @@
 fn passed_on_to_any_data_centre() {
     let agents = table(&[member(1, "near"), member(2, "far")]);
     let routes = routes();
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = cold_gate(routes.cold_rate(orders()));
     for port in 0..10 {
         let verdict = gate.arrived(
@@ -158,7 +158,7 @@
     let verdict = gate.arrived(&open, &place(), known, START);
     assert!(matches!(verdict, Verdict::Pass { reason: PassReason::Cold, .. }), "{verdict:?}");
     // Two others were cold too: it waits here.
-    let passed = envelope(Errand::Place { passed: vec![ProcessId(3), ProcessId(4)] });
+    let passed = envelope(PacketPurpose::Place { passed: vec![ProcessId(3), ProcessId(4)] });
     let verdict = gate.arrived(&open, &passed, known, START);
     assert!(matches!(verdict, Verdict::Wait { .. }), "{verdict:?}");
 }
@@ -168,14 +168,14 @@
 fn requests_of_open_flows_wait() {
     let agents = table(&[member(1, "near")]);
     let routes = routes();
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = cold_gate(None);
     for port in 0..40 {
         gate.arrived(&segment(port, SegmentKind::Open { copies: 0 }, 0), &place(), known, START);
         gate.answered(&segment(port, SegmentKind::Accept, 0), START);
         gate.arrived(
             &segment(port, SegmentKind::Data, 100),
-            &envelope(Errand::Deliver),
+            &envelope(PacketPurpose::Deliver),
             known,
             START,
         );
@@ -189,7 +189,7 @@
     for port in 0..40 {
         let request = segment(port, SegmentKind::Data, 100);
         for _copy in 0..2 {
-            match gate.arrived(&request, &envelope(Errand::Deliver), known, now) {
+            match gate.arrived(&request, &envelope(PacketPurpose::Deliver), known, now) {
                 Verdict::Deliver { .. } => delivered.push(port),
                 Verdict::Wait { terms, envelope, .. } => {
                     let (flow, packet) = (flow(port), Vec::new());
@@ -210,7 +210,7 @@
     while let Some(waiting) = gate.next_waiting(later) {
         let port = waiting.flow.caller().port();
         let request = segment(port, SegmentKind::Data, 100);
-        let verdict = gate.has_turn(&request, &waiting.envelope, known, later);
+        let verdict = gate.decide_waiting(&request, &waiting.envelope, known, later);
         assert!(matches!(verdict, Verdict::Deliver { .. }), "{verdict:?}");
         gate.answered(&segment(port, SegmentKind::Data, 500), later);
         next.push(port);
@@ -334,7 +334,7 @@
 fn play(rate: Option<u32>) -> (usize, usize, u32) {
     let agents = table(&[member(1, "near")]);
     let routes = routes();
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = cold_gate(rate);
     let mut target = Target::new(10);
     // Of each request: when it was asked, and the flow of its present try.
@@ -407,7 +407,7 @@
         }
         while let Some(open) = gate.next_waiting(now) {
             let port = open.flow.caller().port();
-            gate.has_turn(
+            gate.decide_waiting(
                 &segment(port, SegmentKind::Open { copies: 0 }, 0),
                 &open.envelope,
                 known,
@@ -420,7 +420,7 @@
                 gate.answered(&segment(port, SegmentKind::Accept, 0), now);
                 gate.arrived(
                     &segment(port, SegmentKind::Data, 100),
-                    &envelope(Errand::Deliver),
+                    &envelope(PacketPurpose::Deliver),
                     known,
                     now,
                 );
--- a/crates/dillmill-core/tests/evacuations.rs
+++ b/crates/dillmill-core/tests/evacuations.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use dillmill_core::flow_gate::{Known, PassReason, RefuseReason, TargetStanding, Verdict};
+use dillmill_core::flow_gate::{GateContext, PassReason, RefuseReason, TargetStanding, Verdict};
 use dillmill_core::open_queue::{WaitTerms, WaitingOpen};
 use dillmill_core::placement::LoadReport;
 use dillmill_core::target_runs::Predecessor;
 use dillmill_core::{
-    AgentTable, Envelope, Errand, EvacuationChange, Evacuations, FlowGate, FlowPlacement,
-    FlowTuple, Member, MemberStatus, ProcessId, Revision, Role, RouteTable, Segment, SegmentKind,
-    ServiceTag, Timestamp, Weight, ZoneName,
+    AgentTable, Envelope, EvacuationChange, Evacuations, FlowGate, FlowPlacement, FlowTuple,
+    Member, MemberStatus, PacketPurpose, ProcessId, Revision, Role, RouteTable, Segment,
+    SegmentKind, ServiceTag, Timestamp, Weight, ZoneName,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -124,7 +124,7 @@
 /// Agents 1 and 2 in data centre `a`, 3 in `b`, 4 in `c`, as a process in `a` knows them.
 fn table(evacuated: &[&str]) -> AgentTable {
     let members = [member(1, "a"), member(2, "a"), member(3, "b"), member(4, "c")];
-    AgentTable::new(members.iter(), &zone("a")).evacuating(&holds(1, evacuated))
+    AgentTable::new(members.iter(), &zone("a")).with_evacuations(&holds(1, evacuated))
 }
 
 fn orders() -> ServiceTag {
@@ -149,13 +149,13 @@
     segment(port, SegmentKind::Open { copies })
 }
 
-fn envelope(errand: Errand) -> Envelope {
+fn envelope(purpose: PacketPurpose) -> Envelope {
     let origin = SocketAddrV4::new([10, 0, 0, 9].into(), 7000);
-    Envelope { service: orders(), revision: Revision(1), origin, errand }
+    Envelope { service: orders(), revision: Revision(1), origin, purpose }
 }
 
 fn place() -> Envelope {
-    envelope(Errand::Place { passed: Vec::new() })
+    envelope(PacketPurpose::Place { passed: Vec::new() })
 }
 
 /// The gate of agent 1, whose data centre is evacuated after flow 1 has been opened.
@@ -163,7 +163,7 @@
     let mut gate = FlowGate::new(ProcessId(1), data(1), orders(), NOW);
     gate.new_target(orders(), Predecessor::Unsure, NOW);
     gate.set_standing(TargetStanding::Ready, 4);
-    let known = Known { agents, routes, settled: true, told: true };
+    let known = GateContext { agents, routes, settled: true, told: true };
     let verdict = gate.arrived(&open(1, 0), &place(), known, NOW);
     assert!(matches!(verdict, Verdict::Deliver { .. }), "{verdict:?}");
     gate.answered(&segment(1, SegmentKind::Accept), NOW);
@@ -174,7 +174,7 @@
 #[test]
 fn evacuated_agent_passes_on() {
     let (agents, routes) = (table(&["a"]), RouteTable::default());
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = evacuated_gate(&agents, &routes);
     for (port, copies) in [(2, 0), (3, 1), (4, 2), (1, 1)] {
         let verdict = gate.arrived(&open(port, copies), &place(), known, NOW);
@@ -187,30 +187,30 @@
 #[test]
 fn waiting_one_passed_on() {
     let (agents, routes) = (table(&["a"]), RouteTable::default());
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = evacuated_gate(&agents, &routes);
     let terms = WaitTerms::new(0, Duration::from_millis(150), NOW);
     let waits = WaitingOpen { flow: flow(2), packet: vec![0], envelope: place(), terms };
     assert!(gate.wait(waits).is_none());
     let next = gate.next_waiting(NOW).expect("nothing to wait for here");
-    let verdict = gate.has_turn(&open(2, 0), &next.envelope, known, NOW);
+    let verdict = gate.decide_waiting(&open(2, 0), &next.envelope, known, NOW);
     assert!(matches!(verdict, Verdict::Pass { reason: PassReason::Evacuated, .. }), "{verdict:?}");
 }
 
 #[test]
 fn open_flow_stays() {
     let (agents, routes) = (table(&["a"]), RouteTable::default());
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = evacuated_gate(&agents, &routes);
     let request = Segment { len: 100, ..segment(1, SegmentKind::Data) };
-    let verdict = gate.arrived(&request, &envelope(Errand::Deliver), known, NOW);
+    let verdict = gate.arrived(&request, &envelope(PacketPurpose::Deliver), known, NOW);
     assert_eq!(verdict, Verdict::Deliver { mark: 0, tell: None });
 }
 
 #[test]
 fn nowhere_left_is_said_at_once() {
     let (agents, routes) = (table(&["a", "b", "c"]), RouteTable::default());
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = evacuated_gate(&agents, &routes);
     let verdict = gate.arrived(&open(2, 0), &place(), known, NOW);
     let refused = matches!(verdict, Verdict::Refuse { reason: RefuseReason::NoTarget, .. });
@@ -241,7 +241,7 @@
         Member { status: MemberStatus::Suspect, ..member(2, "a") },
         member(3, "b"),
     ];
-    let agents = AgentTable::new(members.iter(), &zone("a")).evacuating(&holds(1, &["a"]));
+    let agents = AgentTable::new(members.iter(), &zone("a")).with_evacuations(&holds(1, &["a"]));
     let taking: Vec<u64> = agents.taking_new(orders()).map(|a| a.process.0).collect();
     assert_eq!(taking, [3]);
 }
--- a/crates/dillmill-core/tests/flow_gates.rs
+++ b/crates/dillmill-core/tests/flow_gates.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use dillmill_core::flow_gate::{
-    Known, PassReason, RefuseReason, TargetPresence, TargetStanding, Verdict,
+    GateContext, PassReason, RefuseReason, TargetPresence, TargetStanding, Verdict,
 };
 use dillmill_core::open_queue::{WaitTerms, WaitingOpen};
 use dillmill_core::target_runs::Predecessor;
 use dillmill_core::{
-    AgentTable, Envelope, Errand, FlowGate, FlowTuple, Member, MemberStatus, ProcessId, Revision,
-    Role, RouteEntry, RouteTable, Search, SearchPlace, SearchScope, Segment, SegmentKind,
+    AgentTable, Envelope, FlowGate, FlowTuple, Member, MemberStatus, PacketPurpose, ProcessId,
+    Revision, Role, RouteEntry, RouteTable, Search, SearchPlace, SearchScope, Segment, SegmentKind,
     ServiceTag, Timestamp, Weight,
 };
 use rstest::rstest;
@@ -80,17 +80,17 @@
     Segment { seq: TARGET_SEQ, ..segment(port, SegmentKind::Accept) }
 }
 
-fn envelope(errand: Errand) -> Envelope {
-    Envelope { service: tag("orders"), revision: Revision(1), origin: control(9), errand }
+fn envelope(purpose: PacketPurpose) -> Envelope {
+    Envelope { service: tag("orders"), revision: Revision(1), origin: control(9), purpose }
 }
 
-fn search(place: SearchPlace) -> Errand {
+fn search(place: SearchPlace) -> PacketPurpose {
     let place = Some(place);
-    Errand::Search(Search { place, steps: 1, told: true, ..Search::default() })
+    PacketPurpose::Search(Search { place, steps: 1, told: true, ..Search::default() })
 }
 
 fn place() -> Envelope {
-    envelope(Errand::Place { passed: Vec::new() })
+    envelope(PacketPurpose::Place { passed: Vec::new() })
 }
 
 /// The gate of agent 1 of `orders`, whose target has started after it.
@@ -108,11 +108,11 @@
     gate
 }
 
-fn arrived(gate: &mut FlowGate, seg: &Segment, env: &Envelope, known: Known<'_>) -> Verdict {
+fn arrived(gate: &mut FlowGate, seg: &Segment, env: &Envelope, known: GateContext<'_>) -> Verdict {
     gate.arrived(seg, env, known, NOW)
 }
 
-fn open_flow(gate: &mut FlowGate, port: u16, known: Known<'_>) {
+fn open_flow(gate: &mut FlowGate, port: u16, known: GateContext<'_>) {
     assert!(matches!(arrived(gate, &open(port), &place(), known), Verdict::Deliver { .. }));
     assert!(gate.answered(&accept(port), NOW).record.is_some());
 }
@@ -120,10 +120,10 @@
 #[test]
 fn new_flow_delivered_and_found() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     open_flow(&mut gate, 1, known);
-    let verdict = arrived(&mut gate, &request(1), &envelope(Errand::Deliver), known);
+    let verdict = arrived(&mut gate, &request(1), &envelope(PacketPurpose::Deliver), known);
     assert_eq!(verdict, Verdict::Deliver { mark: 0, tell: None });
     let verdict =
         arrived(&mut gate, &request(1), &envelope(search(SearchPlace::Directory(0))), known);
@@ -135,7 +135,7 @@
 #[case::gone(TargetStanding::Gone)]
 fn leaving_target_gets_nothing_new(#[case] standing: TargetStanding) {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     open_flow(&mut gate, 1, known);
     gate.set_standing(standing, 5);
@@ -144,9 +144,9 @@
         panic!("not passed on")
     };
     assert_eq!((to == data(2) || to == data(3), reason), (true, PassReason::Leaving));
-    assert_eq!(env.errand, Errand::Place { passed: vec![ProcessId(1)] });
+    assert_eq!(env.purpose, PacketPurpose::Place { passed: vec![ProcessId(1)] });
     // Its open flows stay with it.
-    let verdict = arrived(&mut gate, &request(1), &envelope(Errand::Deliver), known);
+    let verdict = arrived(&mut gate, &request(1), &envelope(PacketPurpose::Deliver), known);
     assert_eq!(verdict, Verdict::Deliver { mark: 0, tell: None });
 }
 
@@ -154,7 +154,7 @@
 fn last_leaving_target_refuses() {
     let agents = agents(&[member(1, "orders", MemberStatus::Leaving)]);
     let routes = routes(1, "orders");
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     gate.set_standing(TargetStanding::Leaving, 5);
     let verdict = arrived(&mut gate, &open(1), &place(), known);
@@ -165,14 +165,14 @@
 #[test]
 fn full_target_passes_on_but_not_for_ever() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     for port in 1..=5 {
         open_flow(&mut gate, port, known);
     }
     let verdict = arrived(&mut gate, &open(6), &place(), known);
     assert!(matches!(verdict, Verdict::Pass { reason: PassReason::Full, .. }), "{verdict:?}");
-    let passed = envelope(Errand::Place { passed: vec![ProcessId(2), ProcessId(3)] });
+    let passed = envelope(PacketPurpose::Place { passed: vec![ProcessId(2), ProcessId(3)] });
     let verdict = arrived(&mut gate, &open(6), &passed, known);
     assert!(matches!(verdict, Verdict::Deliver { .. }), "{verdict:?}");
     // Behind three rounds of work the answer would come too late.
@@ -195,7 +195,7 @@
 fn new_ones_wait_behind_urgent_ones() {
     let agents = agents(&[member(1, "orders", MemberStatus::Serving)]);
     let routes = routes(1, "orders");
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     let terms = WaitTerms::new(2, Duration::from_millis(150), NOW);
     gate.wait(WaitingOpen { flow: flow(1), packet: vec![0], envelope: place(), terms });
@@ -203,7 +203,7 @@
     let verdict = gate.arrived(&open(2), &place(), known, later);
     assert!(matches!(verdict, Verdict::Wait { .. }), "{verdict:?}");
     assert_eq!(gate.next_waiting(later).map(|open| open.flow), Some(flow(1)));
-    let verdict = gate.has_turn(&open(1), &place(), known, later);
+    let verdict = gate.decide_waiting(&open(1), &place(), known, later);
     assert!(matches!(verdict, Verdict::Deliver { .. }), "{verdict:?}");
     let verdict = gate.arrived(&open(2), &place(), known, later);
     assert!(matches!(verdict, Verdict::Deliver { .. }), "{verdict:?}");
@@ -213,7 +213,7 @@
 #[test]
 fn copy_of_a_waiting_packet_dropped() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     let terms = WaitTerms::new(0, Duration::from_millis(150), NOW);
     gate.wait(WaitingOpen { flow: flow(1), packet: vec![0], envelope: place(), terms });
@@ -228,7 +228,7 @@
     let members =
         [member(1, "orders", MemberStatus::Serving), member(2, "labels", MemberStatus::Serving)];
     let (agents, routes) = (agents(&members), routes(2, "labels"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let verdict = arrived(&mut gate(), &open(1), &place(), known);
     let Verdict::Pass { to, envelope, reason } = verdict else { panic!("{verdict:?}") };
     assert_eq!((to, reason), (data(2), PassReason::OtherService));
@@ -238,7 +238,7 @@
 #[test]
 fn newer_settings_without_the_route_refuse() {
     let (agents, routes) = (three(), RouteTable::new(Revision(2), []));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let verdict = arrived(&mut gate(), &open(1), &place(), known);
     let (origin, placed) = (control(9), ProcessId(1));
     assert_eq!(verdict, Verdict::Refuse { reason: RefuseReason::NoRoute, origin, placed });
@@ -247,7 +247,7 @@
 #[test]
 fn other_service_never_delivered() {
     let (agents, routes) = (three(), routes(1, "labels"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let env = Envelope { service: tag("labels"), ..place() };
     assert_eq!(arrived(&mut gate(), &open(1), &env, known), Verdict::Drop);
     let env = Envelope { service: tag("labels"), ..envelope(search(SearchPlace::Directory(0))) };
@@ -259,7 +259,7 @@
 #[rstest]
 fn search_finds_owner(#[values(1, 2, 3, 4, 5, 6, 7, 8)] port: u16) {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gates: Vec<FlowGate> = (1..=3)
         .map(|n| {
             let mut gate = FlowGate::new(ProcessId(u64::from(n)), data(n), tag("orders"), NOW);
@@ -294,7 +294,7 @@
 #[test]
 fn flow_of_nobody_is_missing() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let last = envelope(search(SearchPlace::Holder(0)));
     let verdict = arrived(&mut gate(), &request(1), &last, known);
     assert_eq!(verdict, Verdict::Missing { origin: control(9) });
@@ -306,7 +306,7 @@
     let mut members = [1, 2, 3].map(|n| member(n, "orders", MemberStatus::Serving));
     members[2].status = MemberStatus::Suspect;
     let (agents, routes) = (agents(&members), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let last = envelope(search(SearchPlace::Holder(0)));
     assert_eq!(arrived(&mut gate(), &request(1), &last, known), Verdict::Drop);
 }
@@ -315,7 +315,7 @@
 #[test]
 fn restarted_agent_asks_its_target() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = restarted_gate();
     let verdict =
         arrived(&mut gate, &request(1), &envelope(search(SearchPlace::Directory(0))), known);
@@ -326,14 +326,14 @@
     assert!(matches!(verdict, Verdict::Pass { reason: PassReason::Search, .. }), "{verdict:?}");
     // After a minute all flows of the target have been seen.
     let later = NOW + Duration::from_secs(61);
-    let verdict = gate.arrived(&request(2), &envelope(Errand::Deliver), known, later);
+    let verdict = gate.arrived(&request(2), &envelope(PacketPurpose::Deliver), known, later);
     assert!(matches!(verdict, Verdict::Pass { .. }), "{verdict:?}");
 }
 
 #[test]
 fn returned_opening_goes_to_a_sibling() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     let Verdict::Deliver { mark, .. } = arrived(&mut gate, &open(1), &place(), known) else {
         panic!("not delivered")
@@ -347,11 +347,11 @@
 #[test]
 fn caller_of_another_target_is_not_ours() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     open_flow(&mut gate, 1, known);
     let other = Segment { ack: TARGET_SEQ.wrapping_sub(70_000), ..request(1) };
-    let verdict = arrived(&mut gate, &other, &envelope(Errand::Deliver), known);
+    let verdict = arrived(&mut gate, &other, &envelope(PacketPurpose::Deliver), known);
     assert!(matches!(verdict, Verdict::Pass { reason: PassReason::Search, .. }), "{verdict:?}");
 }
 
@@ -361,15 +361,15 @@
 #[case::last(SegmentKind::Finish)]
 fn new_target_holds_no_flow(#[case] kind: SegmentKind) {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     open_flow(&mut gate, 1, known);
-    arrived(&mut gate, &request(1), &envelope(Errand::Deliver), known);
+    arrived(&mut gate, &request(1), &envelope(PacketPurpose::Deliver), known);
     gate.new_target(tag("orders"), Predecessor::Unsure, NOW);
     let back = Segment { returned: true, ..segment(1, kind) };
     let verdict = gate.returned(&back, known, NOW);
     assert_eq!(verdict, Verdict::Ended { caller_expects: TARGET_SEQ + 1 });
-    let verdict = arrived(&mut gate, &request(1), &envelope(Errand::Deliver), known);
+    let verdict = arrived(&mut gate, &request(1), &envelope(PacketPurpose::Deliver), known);
     assert!(!matches!(verdict, Verdict::Deliver { .. }), "{verdict:?}");
     assert_eq!(gate.load(NOW).requests, 0, "nothing of it runs");
 }
@@ -379,16 +379,16 @@
 #[test]
 fn flows_of_the_new_run_kept() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     open_flow(&mut gate, 1, known);
-    arrived(&mut gate, &request(1), &envelope(Errand::Deliver), known);
+    arrived(&mut gate, &request(1), &envelope(PacketPurpose::Deliver), known);
     assert_eq!(
         gate.new_target(tag("orders"), Predecessor::Unsure, NOW).in_doubt,
         [flow(1)],
         "to be asked about"
     );
-    let verdict = arrived(&mut gate, &request(1), &envelope(Errand::Deliver), known);
+    let verdict = arrived(&mut gate, &request(1), &envelope(PacketPurpose::Deliver), known);
     assert_eq!(verdict, Verdict::Deliver { mark: 0, tell: None });
     assert_eq!(gate.load(NOW).requests, 1);
 }
@@ -396,10 +396,10 @@
 #[test]
 fn requests_counted_until_answered() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     open_flow(&mut gate, 1, known);
-    arrived(&mut gate, &request(1), &envelope(Errand::Deliver), known);
+    arrived(&mut gate, &request(1), &envelope(PacketPurpose::Deliver), known);
     let later = NOW + Duration::from_millis(50);
     assert_eq!((gate.load(later).requests, gate.load(later).flows), (1, 1));
     let answer = Segment { len: 10, ..segment(1, SegmentKind::Data) };
@@ -412,14 +412,14 @@
 #[test]
 fn passed_on_flow_followed() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     gate.set_standing(TargetStanding::Leaving, 5);
     let Verdict::Pass { to, envelope: env, .. } = arrived(&mut gate, &open(1), &place(), known)
     else {
         panic!("not passed on")
     };
-    let verdict = arrived(&mut gate, &request(1), &envelope(Errand::Deliver), known);
+    let verdict = arrived(&mut gate, &request(1), &envelope(PacketPurpose::Deliver), known);
     let Verdict::Pass { to: later, reason: PassReason::Directed, .. } = verdict else {
         panic!("{verdict:?}")
     };
@@ -436,7 +436,7 @@
 #[test]
 fn unheard_target_leaves_it_open() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = FlowGate::new(ProcessId(1), data(1), tag("orders"), NOW);
     let last = envelope(search(SearchPlace::Holder(0)));
     let verdict = arrived(&mut gate, &request(1), &last, known);
@@ -447,7 +447,7 @@
 #[test]
 fn unsettled_view_leaves_it_open() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: false, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: false, told: true };
     let last = envelope(search(SearchPlace::Holder(0)));
     assert_eq!(arrived(&mut gate(), &request(1), &last, known), Verdict::Drop);
 }
@@ -487,7 +487,7 @@
 #[test]
 fn never_heard_target_holds_nothing() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = FlowGate::new(ProcessId(1), data(1), tag("orders"), NOW)
         .heartbeat_every(Duration::from_secs(1));
     let last = envelope(search(SearchPlace::Holder(0)));
@@ -503,7 +503,7 @@
     members[2].status = MemberStatus::Suspect;
     members[2].weight = Weight(0);
     let (agents, routes) = (agents(&members), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let last = envelope(search(SearchPlace::Holder(0)));
     let verdict = arrived(&mut gate(), &request(1), &last, known);
     assert_eq!(verdict, Verdict::Missing { origin: control(9) });
@@ -523,13 +523,13 @@
         ..RouteEntry::default()
     };
     let routes = RouteTable::new(Revision(1), [(ROUTE.parse().unwrap(), entry)]);
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     let mut now = NOW;
     for _ in 0..100 {
         gate.arrived(&open(1), &place(), known, now);
         gate.answered(&accept(1), now);
-        gate.arrived(&request(1), &envelope(Errand::Deliver), known, now);
+        gate.arrived(&request(1), &envelope(PacketPurpose::Deliver), known, now);
         now = now + Duration::from_millis(work_ms);
         gate.answered(&Segment { len: 10, ..segment(1, SegmentKind::Data) }, now);
     }
@@ -546,14 +546,14 @@
 #[test]
 fn reset_of_unowned_flow_held_back() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     open_flow(&mut gate, 1, known);
     let reset = segment(1, SegmentKind::Reset);
     assert!(gate.answered(&reset, NOW).stray_reset);
     assert!(gate.answered(&segment(2, SegmentKind::Reset), NOW).stray_reset, "unknown flow");
     open_flow(&mut gate, 3, known);
-    arrived(&mut gate, &request(3), &envelope(Errand::Deliver), known);
+    arrived(&mut gate, &request(3), &envelope(PacketPurpose::Deliver), known);
     assert!(!gate.answered(&segment(3, SegmentKind::Reset), NOW).stray_reset);
 }
 
@@ -561,7 +561,7 @@
 #[test]
 fn silent_target_gets_nothing_new() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     arrived(&mut gate, &open(1), &place(), known);
     let later = NOW + Duration::from_millis(400);
@@ -579,10 +579,10 @@
 #[test]
 fn open_flows_asked_about() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     open_flow(&mut gate, 1, known);
-    arrived(&mut gate, &request(1), &envelope(Errand::Deliver), known);
+    arrived(&mut gate, &request(1), &envelope(PacketPurpose::Deliver), known);
     open_flow(&mut gate, 2, known);
     assert_eq!(gate.new_target(tag("orders"), Predecessor::Unsure, NOW).in_doubt, [flow(1)]);
     let back = Segment { returned: true, ..request(2) };
@@ -595,7 +595,7 @@
     let mut members = [1, 2].map(|n| member(n, "orders", MemberStatus::Serving));
     members[1].zone = "zone-2".parse().unwrap();
     let (agents, routes) = (agents(&members), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     for port in 1..=14 {
         let verdict = arrived(&mut gate, &open(port), &place(), known);
@@ -611,11 +611,11 @@
 #[test]
 fn answered_flow_counts_no_more() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     for port in 1..=40 {
         open_flow(&mut gate, port, known);
-        arrived(&mut gate, &request(port), &envelope(Errand::Deliver), known);
+        arrived(&mut gate, &request(port), &envelope(PacketPurpose::Deliver), known);
         gate.answered(&Segment { len: 10, ..segment(port, SegmentKind::Data) }, NOW);
     }
     assert_eq!(gate.load(NOW).requests, 0);
@@ -624,7 +624,7 @@
 #[test]
 fn given_back_once_is_enough() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = restarted_gate();
     let env = envelope(search(SearchPlace::Directory(0)));
     let Verdict::Deliver { mark, .. } = arrived(&mut gate, &request(1), &env, known) else {
@@ -674,7 +674,7 @@
 #[test]
 fn absent_target_holds_nothing() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = FlowGate::new(ProcessId(1), data(1), tag("orders"), NOW);
     gate.set_presence(TargetPresence::Absent);
     let verdict = arrived(&mut gate, &request(1), &envelope(search(SearchPlace::Holder(0))), known);
@@ -691,7 +691,7 @@
 #[test]
 fn present_target_is_asked() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = FlowGate::new(ProcessId(1), data(1), tag("orders"), NOW);
     gate.set_presence(TargetPresence::Present);
     let env = envelope(search(SearchPlace::Holder(0)));
@@ -706,7 +706,7 @@
 #[test]
 fn late_look_changes_nothing() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = restarted_gate();
     gate.set_presence(TargetPresence::Absent);
     let env = envelope(search(SearchPlace::Holder(0)));
@@ -720,7 +720,7 @@
         (1..=200).map(|n| member(n, "orders", MemberStatus::Serving)).collect();
     let all = agents(&members);
     let routes = routes(1, "orders");
-    let known = Known { agents: &all, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &all, routes: &routes, settled: true, told: true };
     let mut asked = 0;
     let mut env = envelope(search(SearchPlace::Directory(3)));
     loop {
@@ -776,11 +776,12 @@
 #[test]
 fn second_search_ends_after_the_directories() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     let place = Some(SearchPlace::Directory(3));
     let scope = SearchScope::Directories;
-    let again = Errand::Search(Search { place, steps: 4, told: true, scope, ..Search::default() });
+    let again =
+        PacketPurpose::Search(Search { place, steps: 4, told: true, scope, ..Search::default() });
     let verdict = arrived(&mut gate, &request(1), &envelope(again), known);
     assert_eq!(verdict, Verdict::Missing { origin: control(9) });
     let first =
@@ -792,8 +793,8 @@
 #[test]
 fn cold_target_not_asked_in_vain() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let unsettled = Known { agents: &agents, routes: &routes, settled: false, told: true };
-    let settled = Known { settled: true, ..unsettled };
+    let unsettled = GateContext { agents: &agents, routes: &routes, settled: false, told: true };
+    let settled = GateContext { settled: true, ..unsettled };
     let mut gate = restarted_gate();
     gate.set_cold(Duration::from_secs(2), NOW);
     let env = envelope(search(SearchPlace::Directory(0)));
@@ -802,7 +803,7 @@
     // A search that may prove something asks it, and so does a packet that somebody takes for its.
     let verdict = arrived(&mut gate, &request(1), &env, settled);
     assert!(matches!(verdict, Verdict::Deliver { .. }), "{verdict:?}");
-    let verdict = arrived(&mut gate, &request(2), &envelope(Errand::Deliver), unsettled);
+    let verdict = arrived(&mut gate, &request(2), &envelope(PacketPurpose::Deliver), unsettled);
     assert!(matches!(verdict, Verdict::Deliver { .. }), "{verdict:?}");
 }
 
@@ -811,9 +812,9 @@
 fn late_request_leaves_the_queue_to_others() {
     let agents = agents(&[member(1, "orders", MemberStatus::Serving)]);
     let routes = routes(1, "orders");
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
-    let env = envelope(Errand::Place { passed: Vec::new() });
+    let env = envelope(PacketPurpose::Place { passed: Vec::new() });
     let seg = |port| segment(port, SegmentKind::Open { copies: 2 });
     for port in 1..=5 {
         let verdict = arrived(&mut gate, &seg(port), &env, known);
@@ -832,12 +833,12 @@
     let table = agents(&members);
     let routes = routes(1, "orders");
     for settled in [true, false] {
-        let known = Known { agents: &table, routes: &routes, settled, told: true };
+        let known = GateContext { agents: &table, routes: &routes, settled, told: true };
         let mut gate = gate();
         let port = (1..100)
             .find(|port| table.directory(&flow(*port)).all(|a| a.process != ProcessId(1)))
             .unwrap();
-        let verdict = arrived(&mut gate, &request(port), &envelope(Errand::Deliver), known);
+        let verdict = arrived(&mut gate, &request(port), &envelope(PacketPurpose::Deliver), known);
         let Verdict::Pass { to, .. } = verdict else { panic!("{verdict:?}") };
         assert_eq!(to, table.directory(&flow(port)).next().unwrap().data, "settled: {settled}");
     }
@@ -847,10 +848,10 @@
 #[test]
 fn older_target_is_asked_though_it_refused() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = FlowGate::new(ProcessId(1), data(1), tag("orders"), NOW);
     gate.set_presence(TargetPresence::Absent);
-    gate.target_is_older();
+    gate.note_older_target();
     gate.set_standing(TargetStanding::Ready, 5);
     let env = envelope(search(SearchPlace::Holder(0)));
     assert!(matches!(arrived(&mut gate, &request(1), &env, known), Verdict::Deliver { .. }));
@@ -860,18 +861,18 @@
 #[test]
 fn failing_target_passes_on_while_others_serve() {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     for port in 1..=3 {
         open_flow(&mut gate, port, known);
-        arrived(&mut gate, &request(port), &envelope(Errand::Deliver), known);
+        arrived(&mut gate, &request(port), &envelope(PacketPurpose::Deliver), known);
         assert!(!gate.answered(&segment(port, SegmentKind::Reset), NOW).stray_reset);
     }
     let verdict = arrived(&mut gate, &open(4), &place(), known);
     assert!(matches!(verdict, Verdict::Pass { reason: PassReason::Failing, .. }), "{verdict:?}");
     // Nobody else is left: it must try.
     let passed = vec![ProcessId(2), ProcessId(3)];
-    let env = envelope(Errand::Place { passed });
+    let env = envelope(PacketPurpose::Place { passed });
     let verdict = arrived(&mut gate, &open(5), &env, known);
     assert!(matches!(verdict, Verdict::Deliver { .. }), "{verdict:?}");
     gate.heard();
@@ -886,12 +887,12 @@
 #[case::is_busy(true)]
 fn hanging_target_passes_on(#[case] answers: bool) {
     let (agents, routes) = (three(), routes(1, "orders"));
-    let known = Known { agents: &agents, routes: &routes, settled: true, told: true };
+    let known = GateContext { agents: &agents, routes: &routes, settled: true, told: true };
     let mut gate = gate();
     let slots = 5;
     for port in 1..=slots {
         open_flow(&mut gate, port, known);
-        arrived(&mut gate, &request(port), &envelope(Errand::Deliver), known);
+        arrived(&mut gate, &request(port), &envelope(PacketPurpose::Deliver), known);
     }
     if answers {
         let answer = Segment { len: 700, ..segment(1, SegmentKind::Data) };
--- a/crates/dillmill-core/tests/flow_placements.rs
+++ b/crates/dillmill-core/tests/flow_placements.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use dillmill_core::owner_cache::MISSING_AGAIN;
+use dillmill_core::owner_cache::MISSING_CONFIRM_DELAY;
 use dillmill_core::placement::LoadReport;
 use dillmill_core::{
     AgentTable, FlowPlacement, FlowTuple, Member, MemberStatus, Owner, OwnerCache, PauseWatch,
@@ -87,8 +87,8 @@
     let later = NOW + Duration::from_millis(250);
     assert!(placement.silent(ProcessId(1), later));
     assert_eq!(placed(&mut placement, &agents, 2, later), 2);
-    assert_eq!(placement.to_ask(later), [addr(1, 7000)]);
-    assert!(placement.to_ask(later).is_empty(), "asked again at once");
+    assert_eq!(placement.take_probes_due(later), [addr(1, 7000)]);
+    assert!(placement.take_probes_due(later).is_empty(), "asked again at once");
     placement.report(report(1, 0));
     assert!(!placement.silent(ProcessId(1), later));
     assert_eq!(placed(&mut placement, &agents, 3, later), 1);
@@ -118,17 +118,17 @@
 #[test]
 fn missing_counts_when_found_twice() {
     let mut owners = OwnerCache::default();
-    assert!(!owners.missing(flow(1), MISSING_AGAIN, NOW));
+    assert!(!owners.missing(flow(1), MISSING_CONFIRM_DELAY, NOW));
     assert!(
-        !owners.missing(flow(1), MISSING_AGAIN, NOW + Duration::from_millis(10)),
+        !owners.missing(flow(1), MISSING_CONFIRM_DELAY, NOW + Duration::from_millis(10)),
         "same search"
     );
-    assert!(owners.missing(flow(1), MISSING_AGAIN, NOW + Duration::from_millis(200)));
+    assert!(owners.missing(flow(1), MISSING_CONFIRM_DELAY, NOW + Duration::from_millis(200)));
     let owner = Owner { process: ProcessId(1), data: addr(1, 7001) };
     owners.set(flow(1), owner, NOW);
     assert_eq!(owners.get(&flow(1), NOW), Some(owner));
     assert!(
-        !owners.missing(flow(1), MISSING_AGAIN, NOW + Duration::from_millis(400)),
+        !owners.missing(flow(1), MISSING_CONFIRM_DELAY, NOW + Duration::from_millis(400)),
         "was found meanwhile"
     );
 }
@@ -190,7 +190,7 @@
     let awake = NOW + Duration::from_secs(2);
     assert!(placement.silent(ProcessId(1), awake));
     assert!(pauses.was_paused(awake));
-    placement.forgive(awake);
+    placement.reset_silence(awake);
     assert!(!placement.silent(ProcessId(1), awake));
     assert!(!pauses.was_paused(awake + Duration::from_millis(100)));
     assert!(placement.silent(ProcessId(1), awake + Duration::from_millis(300)), "still no answer");
--- a/crates/dillmill-core/tests/link_admissions.rs
+++ b/crates/dillmill-core/tests/link_admissions.rs
@@ -7,8 +7,8 @@
 use dillmill_core::link_queue::wire_bytes;
 use dillmill_core::open_queue::WaitingOpen;
 use dillmill_core::{
-    Admission, Departure, Envelope, Errand, FlowTuple, LinkAdmission, LinkQueue, LinkRate,
-    PacketId, Revision, Segment, SegmentKind, ServiceTag, Timestamp,
+    Admission, Departure, Envelope, FlowTuple, LinkAdmission, LinkQueue, LinkRate, PacketId,
+    PacketPurpose, Revision, Segment, SegmentKind, ServiceTag, Timestamp,
 };
 use rstest::rstest;
 
@@ -51,7 +51,7 @@
         service: ServiceTag(7),
         revision: Revision(1),
         origin: AGENT,
-        errand: Errand::Place { passed: Vec::new() },
+        purpose: PacketPurpose::Place { passed: Vec::new() },
     };
     WaitingOpen {
         flow,
--- a/crates/dillmill-core/tests/open_queues.rs
+++ b/crates/dillmill-core/tests/open_queues.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dillmill_core::open_queue::{OpenQueue, WaitTerms, WaitingOpen, waiting_since};
-use dillmill_core::{Envelope, Errand, FlowTuple, Revision, ServiceTag, Timestamp};
+use dillmill_core::{Envelope, FlowTuple, PacketPurpose, Revision, ServiceTag, Timestamp};
 use rstest::rstest;
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
@@ -25,7 +25,7 @@
         service: ServiceTag(1),
         revision: Revision(1),
         origin: "10.0.0.9:7000".parse().unwrap(),
-        errand: Errand::Place { passed: Vec::new() },
+        purpose: PacketPurpose::Place { passed: Vec::new() },
     };
     // All copies have come, so that nothing but the wait counts.
     let terms = WaitTerms { copies: 2, ..WaitTerms::new(0, LIMIT, at(ms)) };
--- a/crates/dillmill-core/tests/pending_searches.rs
+++ b/crates/dillmill-core/tests/pending_searches.rs
@@ -88,7 +88,7 @@
     searches.begin(flow(1), b"last", START);
     let until_settled: Vec<u64> = repeats_until(&mut searches, 0, 1000);
     assert_eq!(until_settled, [100, 300, 700]);
-    searches.begin_again(at(1000));
+    searches.restart_repeats(at(1000));
     assert_eq!(repeats_until(&mut searches, 1000, 4000), [1100, 1300, 1700, 2500]);
 }
 
--- a/crates/dillmill-core/tests/search_costs.rs
+++ b/crates/dillmill-core/tests/search_costs.rs
@@ -8,12 +8,12 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-use dillmill_core::flow_gate::{Known, TargetStanding, Verdict};
+use dillmill_core::flow_gate::{GateContext, TargetStanding, Verdict};
 use dillmill_core::target_runs::Predecessor;
 use dillmill_core::{
-    AgentTable, DirectoryCatchUp, Envelope, Errand, FlowCoverage, FlowGate, FlowTuple, Member,
-    MemberStatus, ProcessId, RecordBatch, Registrations, Revision, Role, RouteEntry, RouteTable,
-    Search, Segment, SegmentKind, ServiceTag, Timestamp, Weight,
+    AgentTable, DirectoryCatchUp, Envelope, FlowCoverage, FlowGate, FlowTuple, Member,
+    MemberStatus, PacketPurpose, ProcessId, RecordBatch, Registrations, Revision, Role, RouteEntry,
+    RouteTable, Search, Segment, SegmentKind, ServiceTag, Timestamp, Weight,
 };
 use rstest::rstest;
 
@@ -119,7 +119,7 @@
                 let directory = self.members[n].control;
                 let accepted = self.gates[number(to)].records();
                 let mut registrations = Registrations::default();
-                for batch in registrations.tell(accepted, &self.table, directory, self.now) {
+                for batch in registrations.records_for(accepted, &self.table, directory, self.now) {
                     for record in batch.records {
                         self.gates[n].register(record, self.now);
                     }
@@ -130,25 +130,25 @@
         asked
     }
 
-    fn arrives(&mut self, n: usize, seg: &Segment, errand: Errand) -> Verdict {
-        let known = Known {
+    fn arrives(&mut self, n: usize, seg: &Segment, purpose: PacketPurpose) -> Verdict {
+        let known = GateContext {
             agents: &self.table,
             routes: &self.routes,
             settled: true,
             told: self.catch_ups[n].is_complete(),
         };
         let envelope =
-            Envelope { service: orders(), revision: Revision(1), origin: addr(1, 1), errand };
+            Envelope { service: orders(), revision: Revision(1), origin: addr(1, 1), purpose };
         self.gates[n].arrived(seg, &envelope, known, self.now)
     }
 
     /// Opens flow `n` at an agent; the directories that `reached` lets through hear of it.
     fn open(&mut self, n: u32, at: usize, reached: bool) {
         let opening = segment(n, SegmentKind::Open { copies: 0 });
-        self.arrives(at, &opening, Errand::Place { passed: Vec::new() });
+        self.arrives(at, &opening, PacketPurpose::Place { passed: Vec::new() });
         let accept = Segment { seq: TARGET_SEQ, ..segment(n, SegmentKind::Accept) };
         let record = self.gates[at].answered(&accept, self.now).record.unwrap();
-        self.arrives(at, &request(n), Errand::Deliver);
+        self.arrives(at, &request(n), PacketPurpose::Deliver);
         self.held.insert(flow(n), at);
         let directories: Vec<usize> =
             self.table.directory(&flow(n)).map(|a| number(a.data)).collect();
@@ -169,20 +169,20 @@
         let (place, mut at) = (Some(first.0), number(first.1.data));
         let search = Search { place, steps: 1, ..Search::default() };
         let mut hops = 1;
-        let mut verdict = self.arrives(at, &request(n), Errand::Search(search));
+        let mut verdict = self.arrives(at, &request(n), PacketPurpose::Search(search));
         loop {
             verdict = match verdict {
                 Verdict::Pass { to, envelope, .. } => {
                     hops += 1;
                     at = number(to);
-                    self.arrives(at, &request(n), envelope.errand)
+                    self.arrives(at, &request(n), envelope.purpose)
                 }
                 Verdict::Deliver { .. } if self.held.get(&flow(n)) == Some(&at) => {
                     return (End::Found { agent: at }, hops);
                 }
                 Verdict::Deliver { mark, .. } => {
                     let back = Segment { returned: true, mark, ..request(n) };
-                    let known = Known {
+                    let known = GateContext {
                         agents: &self.table,
                         routes: &self.routes,
                         settled: true,
--- a/crates/dillmill-core/tests/target_restarts.rs
+++ b/crates/dillmill-core/tests/target_restarts.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use dillmill_core::flow_gate::{Known, TargetStanding, Verdict};
+use dillmill_core::flow_gate::{GateContext, TargetStanding, Verdict};
 use dillmill_core::target_flows::EndedFlow;
 use dillmill_core::target_runs::Predecessor;
 use dillmill_core::{
-    AgentTable, Envelope, Errand, FlowGate, FlowTuple, ProcessId, Revision, RouteEntry, RouteTable,
-    Segment, SegmentKind, ServiceTag, Timestamp, Weight,
+    AgentTable, Envelope, FlowGate, FlowTuple, PacketPurpose, ProcessId, Revision, RouteEntry,
+    RouteTable, Segment, SegmentKind, ServiceTag, Timestamp, Weight,
 };
 use rstest::{fixture, rstest};
 
@@ -48,20 +48,21 @@
 }
 
 impl World {
-    fn arrives(&mut self, seg: &Segment, errand: Errand, now: Timestamp) -> Verdict {
-        let known = Known { agents: &self.agents, routes: &self.routes, settled: true, told: true };
+    fn arrives(&mut self, seg: &Segment, purpose: PacketPurpose, now: Timestamp) -> Verdict {
+        let known =
+            GateContext { agents: &self.agents, routes: &self.routes, settled: true, told: true };
         let envelope =
-            Envelope { service: orders(), revision: Revision(1), origin: addr(9, 1), errand };
+            Envelope { service: orders(), revision: Revision(1), origin: addr(9, 1), purpose };
         self.gate.arrived(seg, &envelope, known, now)
     }
 
     /// Has a caller open a flow and ask on it.
     fn open(&mut self, port: u16, now: Timestamp) {
         let opening = segment(port, SegmentKind::Open { copies: 0 });
-        self.arrives(&opening, Errand::Place { passed: Vec::new() }, now);
+        self.arrives(&opening, PacketPurpose::Place { passed: Vec::new() }, now);
         let accept = Segment { seq: TARGET_SEQ, ..segment(port, SegmentKind::Accept) };
         self.gate.answered(&accept, now);
-        let verdict = self.arrives(&request(port), Errand::Deliver, now);
+        let verdict = self.arrives(&request(port), PacketPurpose::Deliver, now);
         assert_eq!(verdict, Verdict::Deliver { mark: 0, tell: None });
     }
 }
--- a/crates/dillmill-flow/src/agent_task.rs
+++ b/crates/dillmill-flow/src/agent_task.rs
@@ -241,9 +241,9 @@
         // A balancer knows the orders before it knows any route, so what it sends meanwhile is right.
         let evacuations = view.evacuations.as_deref().cloned().unwrap_or_default();
         self.gate.set_evacuated(evacuations.contains(&self.zone), now);
-        let agents = AgentTable::new(view.members(), &self.zone).evacuating(&evacuations);
+        let agents = AgentTable::new(view.members(), &self.zone).with_evacuations(&evacuations);
         if agents != self.agents {
-            self.registrations.moved(self.gate.records(), &self.agents, &agents);
+            self.registrations.push_moved(self.gate.records(), &self.agents, &agents);
             self.agents = agents;
             self.register_new(now);
         }
--- a/crates/dillmill-flow/src/agent_task/directory.rs
+++ b/crates/dillmill-flow/src/agent_task/directory.rs
@@ -19,7 +19,7 @@
             FlowMessage::Recorded { number } => self.registrations.acknowledged(from, number),
             FlowMessage::AskRecords { .. } => {
                 let accepted = self.gate.records();
-                let batches = self.registrations.tell(accepted, &self.agents, from, now);
+                let batches = self.registrations.records_for(accepted, &self.agents, from, now);
                 self.send_records(batches);
                 let process = self.handle.process;
                 self.handle.send(from, Message::Flow(FlowMessage::ToldAll { process }));
--- a/crates/dillmill-flow/src/agent_task/heartbeats.rs
+++ b/crates/dillmill-flow/src/agent_task/heartbeats.rs
@@ -150,7 +150,7 @@
             return self.gate.new_target(ServiceTag::from(&self.service), predecessor, now);
         }
         if heartbeat.number > FIRST_HEARTBEATS {
-            self.gate.target_is_older();
+            self.gate.note_older_target();
         }
         RunChange::default()
     }
--- a/crates/dillmill-flow/src/agent_task/packets.rs
+++ b/crates/dillmill-flow/src/agent_task/packets.rs
@@ -2,8 +2,10 @@
 
 use std::net::SocketAddrV4;
 
-use dillmill_core::flow_gate::{Known, Verdict};
-use dillmill_core::{Departure, Envelope, Errand, FlowTuple, Segment, SegmentKind, Timestamp};
+use dillmill_core::flow_gate::{GateContext, Verdict};
+use dillmill_core::{
+    Departure, Envelope, FlowTuple, PacketPurpose, Segment, SegmentKind, Timestamp,
+};
 use dillmill_node::TrafficKind;
 use dillmill_platform::packet::{self, Sender};
 use dillmill_wire::{FlowMessage, Message, open_envelope, seal_envelope};
@@ -20,7 +22,7 @@
         let Ok(seg) = packet::decode(packet, Sender::Caller) else {
             return self.counters.dropped.inc();
         };
-        self.handle.metrics.traffic.received(kind_of(&envelope.errand, &seg), buf.len());
+        self.handle.metrics.traffic.received(kind_of(&envelope.purpose, &seg), buf.len());
         self.take_packet(&seg, packet, envelope, now).await;
     }
 
@@ -32,10 +34,10 @@
         envelope: Envelope,
         now: Timestamp,
     ) {
-        if matches!(envelope.errand, Errand::Place { .. }) {
+        if matches!(envelope.purpose, PacketPurpose::Place { .. }) {
             self.note_origin(envelope.origin, now);
         }
-        let known = Known {
+        let known = GateContext {
             agents: &self.agents,
             routes: &self.routes,
             settled: self.settled,
@@ -49,7 +51,7 @@
         let returned = packet::decode(&buf, Sender::Caller).ok().filter(|seg| seg.returned);
         if let Some(seg) = returned {
             self.counters.returned.inc();
-            let known = Known {
+            let known = GateContext {
                 agents: &self.agents,
                 routes: &self.routes,
                 settled: self.settled,
@@ -103,13 +105,13 @@
             }
             Verdict::Pass { to, envelope, reason } => {
                 self.no_longer_waits(seg);
-                if matches!(envelope.errand, Errand::Place { .. }) {
+                if matches!(envelope.purpose, PacketPurpose::Place { .. }) {
                     self.counters.passed_on.inc();
                 } else {
                     self.counters.searched.inc();
                 }
                 self.log.flow(now, &seg.flow, format_args!("passed to {to}"), || {
-                    format!("{reason:?}, {:?}", envelope.errand)
+                    format!("{reason:?}, {:?}", envelope.purpose)
                 });
                 self.pass(&envelope, seg, packet, to, now).await;
             }
@@ -189,7 +191,7 @@
         let mut buf = Vec::with_capacity(packet.len() + 64);
         seal_envelope(envelope, &packet, &mut buf);
         let departure = Departure { flow: seg.flow, packet: seg.into(), buf, to };
-        self.depart(kind_of(&envelope.errand, seg), departure, now).await;
+        self.depart(kind_of(&envelope.purpose, seg), departure, now).await;
     }
 
     pub(super) async fn send_to_caller(&mut self, seg: &Segment, buf: Vec<u8>, now: Timestamp) {
@@ -209,9 +211,9 @@
     }
 }
 
-fn kind_of(errand: &Errand, seg: &Segment) -> TrafficKind {
-    match errand {
-        Errand::Search(_) | Errand::Directed { .. } => TrafficKind::Search,
-        Errand::Place { .. } | Errand::Deliver => traffic_kind(seg),
+fn kind_of(purpose: &PacketPurpose, seg: &Segment) -> TrafficKind {
+    match purpose {
+        PacketPurpose::Search(_) | PacketPurpose::Directed { .. } => TrafficKind::Search,
+        PacketPurpose::Place { .. } | PacketPurpose::Deliver => traffic_kind(seg),
     }
 }
--- a/crates/dillmill-flow/src/agent_task/reports.rs
+++ b/crates/dillmill-flow/src/agent_task/reports.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use dillmill_core::flow_placement::REPORT_EVERY;
+use dillmill_core::flow_placement::REPORT_INTERVAL;
 use dillmill_core::placement::LoadReport;
 use dillmill_core::{Slots, Timestamp};
 use dillmill_wire::Message;
@@ -41,7 +41,7 @@
         });
         origin.last_flow = now;
         origin.due = true;
-        if now.since(origin.last_report) >= REPORT_EVERY {
+        if now.since(origin.last_report) >= REPORT_INTERVAL {
             self.report_to(balancer, now);
         }
     }
--- a/crates/dillmill-flow/src/agent_task/waiting.rs
+++ b/crates/dillmill-flow/src/agent_task/waiting.rs
@@ -1,6 +1,6 @@
 //! Opening packets that wait for the target.
 
-use dillmill_core::flow_gate::Known;
+use dillmill_core::flow_gate::GateContext;
 use dillmill_core::open_queue::{WaitTerms, WaitingOpen};
 use dillmill_core::{Envelope, Segment, SegmentKind, Timestamp};
 use dillmill_platform::packet::{self, Sender};
@@ -51,13 +51,13 @@
         }
         while let Some(open) = self.gate.next_waiting(now) {
             let Ok(seg) = packet::decode(&open.packet, Sender::Caller) else { continue };
-            let known = Known {
+            let known = GateContext {
                 agents: &self.agents,
                 routes: &self.routes,
                 settled: self.settled,
                 told: self.catch_up.is_complete(),
             };
-            let verdict = self.gate.has_turn(&seg, &open.envelope, known, now);
+            let verdict = self.gate.decide_waiting(&seg, &open.envelope, known, now);
             Box::pin(self.carry_out(verdict, &seg, open.packet, now)).await;
         }
     }
--- a/crates/dillmill-flow/src/balancer_task.rs
+++ b/crates/dillmill-flow/src/balancer_task.rs
@@ -7,12 +7,13 @@
 use std::time::Duration;
 
 use compio::net::UdpSocket;
-use dillmill_core::owner_cache::{MISSING_AGAIN, MISSING_AGAIN_YOUNG};
+use dillmill_core::owner_cache::{MISSING_CONFIRM_DELAY, MISSING_CONFIRM_DELAY_AT_START};
 use dillmill_core::placement::LoadReport;
 use dillmill_core::{
-    AgentTable, Departure, EarlyPacket, EarlyPackets, Envelope, Errand, EventKind, FlowPlacement,
-    FlowTuple, LinkAdmission, Owner, OwnerCache, PacketId, PauseWatch, PendingSearches, RouteTable,
-    SearchScope, Segment, SegmentKind, ServiceTag, Timestamp, ZoneName,
+    AgentTable, Departure, EarlyPacket, EarlyPackets, Envelope, EventKind, FlowPlacement,
+    FlowTuple, LinkAdmission, Owner, OwnerCache, PacketId, PacketPurpose, PauseWatch,
+    PendingSearches, RouteTable, SearchScope, Segment, SegmentKind, ServiceTag, Timestamp,
+    ZoneName,
 };
 use dillmill_node::{NodeError, NodeHandle, TrafficKind, View, Views};
 use dillmill_platform::ProcessSettings;
@@ -146,7 +147,7 @@
         while let Some(event) = events.next().await {
             let now = self.handle.clock.now();
             if self.pauses.was_paused(now) {
-                self.placement.forgive(now);
+                self.placement.reset_silence(now);
             }
             if let Some(view) = self.views.newer() {
                 self.take_view(&view, now);
@@ -167,11 +168,11 @@
 
     fn take_view(&mut self, view: &View, now: Timestamp) {
         if view.settled && !self.settled {
-            self.searches.begin_again(now);
+            self.searches.restart_repeats(now);
         }
         self.settled = view.settled;
         let evacuations = view.evacuations.as_deref().cloned().unwrap_or_default();
-        self.agents = AgentTable::new(view.members(), &self.zone).evacuating(&evacuations);
+        self.agents = AgentTable::new(view.members(), &self.zone).with_evacuations(&evacuations);
         self.placement.retain(&self.agents);
         // No flow is placed by routes alone: its data centre may be evacuated.
         if let Some(routes) = &view.routes
@@ -210,7 +211,7 @@
         for flow in self.searches.take_due(now) {
             self.search_again(flow, SearchScope::All, now).await;
         }
-        for to in self.placement.to_ask(now) {
+        for to in self.placement.take_probes_due(now) {
             self.handle.send(to, Message::Flow(FlowMessage::AskLoad));
         }
         let before = self.readiness.get();
@@ -278,7 +279,11 @@
 
     /// Returns how long after the first proof that nobody holds a flow a second one counts.
     fn missing_again(&self, now: Timestamp) -> Duration {
-        if now.since(self.started) < YOUNG { MISSING_AGAIN_YOUNG } else { MISSING_AGAIN }
+        if now.since(self.started) < YOUNG {
+            MISSING_CONFIRM_DELAY_AT_START
+        } else {
+            MISSING_CONFIRM_DELAY
+        }
     }
 
     async fn no_route(&mut self, seg: &Segment, now: Timestamp) {
@@ -300,25 +305,27 @@
         &mut self,
         seg: &Segment,
         service: ServiceTag,
-        errand: Errand,
+        purpose: PacketPurpose,
         packet: &[u8],
         to: SocketAddrV4,
         now: Timestamp,
     ) {
-        let kind = match errand {
-            Errand::Search(_) => TrafficKind::Search,
-            Errand::Place { .. } | Errand::Deliver | Errand::Directed { .. } => traffic_kind(seg),
+        let kind = match purpose {
+            PacketPurpose::Search(_) => TrafficKind::Search,
+            PacketPurpose::Place { .. }
+            | PacketPurpose::Deliver
+            | PacketPurpose::Directed { .. } => traffic_kind(seg),
         };
         let mut buf = Vec::with_capacity(packet.len() + 48);
-        seal_envelope(&self.envelope(service, errand), packet, &mut buf);
+        seal_envelope(&self.envelope(service, purpose), packet, &mut buf);
         let departure = Departure { flow: seg.flow, packet: seg.into(), buf, to };
         if let Some(flow) = self.uplink.send(kind, departure, now).await {
             self.log.flow(now, &flow, "dropped", || "too much waits for the link".to_owned());
         }
     }
 
-    fn envelope(&self, service: ServiceTag, errand: Errand) -> Envelope {
-        Envelope { service, revision: self.routes.revision, origin: self.control, errand }
+    fn envelope(&self, service: ServiceTag, purpose: PacketPurpose) -> Envelope {
+        Envelope { service, revision: self.routes.revision, origin: self.control, purpose }
     }
 
     async fn reset(&self, flow: &FlowTuple, seq: u32) {
--- a/crates/dillmill-flow/src/balancer_task/opening.rs
+++ b/crates/dillmill-flow/src/balancer_task/opening.rs
@@ -2,7 +2,7 @@
 
 use dillmill_core::open_queue::WaitingOpen;
 use dillmill_core::{
-    Errand, LinkAdmission, Owner, RouteEntry, Segment, ServiceTag, Timestamp, patience,
+    LinkAdmission, Owner, PacketPurpose, RouteEntry, Segment, ServiceTag, Timestamp, patience,
 };
 use dillmill_platform::packet::{self, Sender};
 
@@ -36,8 +36,8 @@
         self.log.flow(now, &seg.flow, "waits", || {
             format!("uploads under way bring {under_way} bytes over the link, {waiting} wait")
         });
-        let errand = Errand::Place { passed: Vec::new() };
-        let envelope = self.envelope(service, errand);
+        let purpose = PacketPurpose::Place { passed: Vec::new() };
+        let envelope = self.envelope(service, purpose);
         let open = WaitingOpen { flow: seg.flow, packet: buf.to_vec(), envelope, terms };
         // One that finds no place waits for its caller's copy.
         if self.admission.wait(open).is_some() {
@@ -101,7 +101,8 @@
             self.admission.begin(seg.flow, now);
         }
         self.owners.set(seg.flow, owner, now);
-        self.send(seg, service, Errand::Place { passed: Vec::new() }, buf, owner.data, now).await;
+        self.send(seg, service, PacketPurpose::Place { passed: Vec::new() }, buf, owner.data, now)
+            .await;
     }
 
     /// Refuses a new flow that no agent can take, so that the caller's next try comes soon. A
--- a/crates/dillmill-flow/src/balancer_task/searching.rs
+++ b/crates/dillmill-flow/src/balancer_task/searching.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dillmill_core::{
-    Errand, FlowTuple, Owner, Search, SearchScope, Segment, ServiceTag, Timestamp,
+    FlowTuple, Owner, PacketPurpose, Search, SearchScope, Segment, ServiceTag, Timestamp,
 };
 use dillmill_platform::packet::{self, Sender};
 
@@ -22,7 +22,7 @@
         self.placement.count_bytes(service, u64::from(seg.len));
         let known = self.owners.get(&seg.flow, now);
         if let Some(owner) = known.filter(|owner| self.agents.at(owner.data).is_some()) {
-            return self.send(seg, service, Errand::Deliver, buf, owner.data, now).await;
+            return self.send(seg, service, PacketPurpose::Deliver, buf, owner.data, now).await;
         }
         self.search(seg, service, services, buf, now).await;
     }
@@ -62,8 +62,8 @@
             format!("owner not known or gone, {} agents", self.agents.len())
         });
         let place = Some(place);
-        let errand = Errand::Search(Search { place, steps: 1, scope, ..Search::default() });
-        self.send(seg, service, errand, buf, first, now).await;
+        let purpose = PacketPurpose::Search(Search { place, steps: 1, scope, ..Search::default() });
+        self.send(seg, service, purpose, buf, first, now).await;
     }
 
     /// Has a search that found nobody repeated: the caller's own next try may come too late.
@@ -106,7 +106,7 @@
         for buf in self.searches.end(&flow) {
             if let Some(service) = agent {
                 let Ok(seg) = packet::decode(&buf, Sender::Caller) else { continue };
-                self.send(&seg, service, Errand::Deliver, &buf, owner.data, now).await;
+                self.send(&seg, service, PacketPurpose::Deliver, &buf, owner.data, now).await;
             }
         }
     }
--- a/crates/dillmill-standins/src/waiting.rs
+++ b/crates/dillmill-standins/src/waiting.rs
@@ -11,7 +11,9 @@
 use std::time::Duration;
 
 use dillmill_core::open_queue::{OpenQueue, WaitTerms, WaitingOpen};
-use dillmill_core::{Envelope, Errand, FlowTuple, Revision, ServiceTag, Timestamp, patience};
+use dillmill_core::{
+    Envelope, FlowTuple, PacketPurpose, Revision, ServiceTag, Timestamp, patience,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -318,8 +320,8 @@
 }
 
 fn envelope() -> Envelope {
-    let errand = Errand::Place { passed: Vec::new() };
-    Envelope { service: ServiceTag(1), revision: Revision(1), origin: route(), errand }
+    let purpose = PacketPurpose::Place { passed: Vec::new() };
+    Envelope { service: ServiceTag(1), revision: Revision(1), origin: route(), purpose }
 }
 
 /// The service of menus, as its users describe it, under `load` requests a second.
--- a/crates/dillmill-wire/tests/fuzzed_messages.rs
+++ b/crates/dillmill-wire/tests/fuzzed_messages.rs
@@ -1,7 +1,7 @@
 //! Bytes of others never bring a decoder of our own messages down, and an envelope is read as it was written.
 
 use dillmill_core::{
-    Envelope, Errand, ProcessId, Revision, Search, SearchPlace, SearchScope, ServiceTag,
+    Envelope, PacketPurpose, ProcessId, Revision, Search, SearchPlace, SearchScope, ServiceTag,
 };
 use dillmill_wire::{Frame, Message, open_envelope, seal_envelope};
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
     ProptestConfig { rng_seed: RngSeed::Fixed(7), cases: 2000, ..ProptestConfig::default() }
 }
 
-fn errand() -> impl Strategy<Value = Errand> {
+fn purpose() -> impl Strategy<Value = PacketPurpose> {
     let place = prop_oneof![
         any::<u8>().prop_map(SearchPlace::Directory),
         any::<u64>().prop_map(SearchPlace::Holder),
@@ -22,10 +22,10 @@
         .prop_map(|(place, steps, [sure, told], scope)| Search { place, steps, sure, told, scope });
     let passed = prop::collection::vec(any::<u64>().prop_map(ProcessId), 0..4);
     prop_oneof![
-        passed.prop_map(|passed| Errand::Place { passed }),
-        Just(Errand::Deliver),
-        search.clone().prop_map(Errand::Search),
-        (search, any::<u8>()).prop_map(|(search, times)| Errand::Directed { search, times }),
+        passed.prop_map(|passed| PacketPurpose::Place { passed }),
+        Just(PacketPurpose::Deliver),
+        search.clone().prop_map(PacketPurpose::Search),
+        (search, any::<u8>()).prop_map(|(search, times)| PacketPurpose::Directed { search, times }),
     ]
 }
 
@@ -41,14 +41,14 @@
 
     #[test]
     fn envelope_read_as_written(
-        errand in errand(),
+        purpose in purpose(),
         service in any::<u32>(),
         revision in any::<u64>(),
         packet in prop::collection::vec(any::<u8>(), 0..64),
     ) {
         let (service, revision) = (ServiceTag(service), Revision(revision));
         let origin = "10.0.0.9:7000".parse().unwrap();
-        let envelope = Envelope { service, revision, origin, errand };
+        let envelope = Envelope { service, revision, origin, purpose };
         let mut buf = Vec::new();
         seal_envelope(&envelope, &packet, &mut buf);
         prop_assert_eq!(open_envelope(&buf), Ok((envelope, packet.as_slice())));
