--- a/crates/dillmill-core/src/agent_table.rs
+++ b/crates/dillmill-core/src/agent_table.rs
@@ -1,4 +1,5 @@
-//! The agents of packet flows that a process knows, ready for look-ups by packet.
+//! Table of the agents that a process knows, indexed for look-ups by packet: new flows, directories
+//! and searches.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -12,48 +13,51 @@
     Timestamp, ZoneName,
 };
 
-/// Agents that remember the owner of a flow besides the owner itself: two, so that the loss of one loses no
-/// answer.
+/// Number of directories that record the owner of a flow, besides the owner itself. With two, the
+/// loss of one loses no record.
 pub const DIRECTORY_REPLICAS: usize = 2;
-/// Directories that a search asks: where one process takes a living agent for suspect and another does not, the
-/// records lie one place further.
-const DIRECTORIES_ASKED: usize = 4;
-/// A search visits all agents of services that have no more, and needs no word of directories then; of larger ones it
-/// would visit too many.
-const FEW_AGENTS: usize = 64;
-/// Seed of a flow's place on the ring of directories; any number that no address gives will do.
+/// Number of directories that a search asks. Where one process takes a live agent as suspect and
+/// another does not, the records lie one place further on the ring.
+const DIRECTORIES_SEARCHED: usize = 4;
+/// Largest number of agents of the searched services of which a search visits all; it then needs no
+/// statement of a directory. Of larger services it would visit too many.
+const VISIT_ALL_LIMIT: usize = 64;
+/// Hash seed of a flow's position on the ring of directories; any number that no address gives will
+/// do.
 const RING_SEED: u64 = u64::MAX - 1;
-/// Processes that start together do within this time, and clocks of VMs mostly differ by less: one that started this much
-/// earlier by its own clock is older.
-const STARTED_APART: Duration = Duration::from_secs(2);
+/// Difference of start times beyond which a process counts as older, by its own clock. Processes
+/// that start together do so within this time, and the clocks of VMs mostly differ by less.
+const START_SKEW: Duration = Duration::from_secs(2);
 
-/// Bits of a search score that come from the data centre; two with the same ones are visited as one.
+/// Bits of a search score that come from the data centre. Data centres with the same bits are
+/// visited as one.
 const ZONE_BITS: u64 = 0xffff << 48;
 
-/// An agent that is not known to be down and has a target, as far as it has said.
+/// An agent that is not known to be down and has a target, as far as it has announced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentEntry {
-    /// This run of the agent.
+    /// Id of this run of the agent process.
     pub process: ProcessId,
-    /// Where packets reach it.
+    /// Data address, at which the agent receives packets.
     pub data: SocketAddrV4,
-    /// Where messages reach it.
+    /// Control address, at which the agent receives messages.
     pub control: SocketAddrV4,
-    /// Its service.
+    /// Service of the agent's target.
     pub service: ServiceTag,
-    /// Whether it is in the data centre of the process that holds the table.
+    /// Whether the agent is in the same data centre as the process that holds the table.
     pub near: bool,
-    /// Hash of its data centre's name.
+    /// Hash of the name of the agent's data centre.
     pub zone_seed: u64,
-    /// Its standing.
+    /// Membership status.
     pub status: MemberStatus,
-    /// Slots of its target.
+    /// Slots of the agent's target.
     pub slots: u16,
-    /// Its data centre is to get no new flows.
+    /// Whether the agent's data centre is evacuated: it gets no new flows.
     pub evacuated: bool,
-    /// Whether it knows each flow that its target holds, and so has told the directories of it.
+    /// Whether the agent knows each flow that its target holds, and so has told the directories of
+    /// each.
     pub coverage: FlowCoverage,
-    /// When it started, by its own clock.
+    /// Start time by the agent's own clock.
     pub started: Timestamp,
 }
 
@@ -74,13 +78,13 @@
         }
     }
 
-    /// A packet sent to an agent that does not answer would end a search.
+    /// Returns whether the agent answers. A packet sent to one that does not would end a search.
     fn answers(&self) -> bool {
         self.status < MemberStatus::Suspect
     }
 }
 
-/// The agents of one service, and those that matter for its new flows.
+/// The agents of one service, and those among them that are candidates for its new flows.
 #[derive(Debug, Clone, Default)]
 struct ServiceAgents {
     all: Vec<usize>,
@@ -95,27 +99,27 @@
     }
 }
 
-/// All agents that are not known to be down, but for those without a target: no flow can be there, and their VMs
-/// are mostly about to go.
+/// All agents that are not known to be down, except those without a target: these can hold no flow,
+/// and their VMs are mostly about to stop.
 ///
-/// Look-ups cost a few steps whatever the size of the fleet, but for those that return many agents.
+/// A look-up takes a few steps whatever the size of the fleet, unless it returns many agents.
 #[derive(Debug, Clone, Default)]
 pub struct AgentTable {
-    /// In the order of their data addresses.
+    /// Sorted by data address.
     agents: Vec<AgentEntry>,
-    /// Process numbers in order, with places in `agents`.
+    /// Process ids in order, with indices into `agents`.
     processes: Vec<(ProcessId, usize)>,
-    /// Places of the directories on the ring in order, with places in `agents`.
+    /// Ring positions of the directories in order, with indices into `agents`.
     ring: Vec<(u64, usize)>,
-    /// Agents whose targets may hold flows that they do not know.
+    /// Indices of agents whose targets may hold flows that the agents do not know.
     partial: Vec<usize>,
     services: HashMap<ServiceTag, ServiceAgents>,
-    first_start: Option<Timestamp>,
+    earliest_start: Option<Timestamp>,
 }
 
 impl PartialEq for AgentTable {
     fn eq(&self, other: &Self) -> bool {
-        // All else follows from the agents.
+        // All other fields are derived from the agents.
         self.agents == other.agents
     }
 }
@@ -138,7 +142,7 @@
         Self { agents, ..Self::default() }.indexed()
     }
 
-    /// Marks the agents of data centres that are to get no new flows.
+    /// Marks the agents of evacuated data centres, which get no new flows.
     #[must_use]
     pub fn with_evacuations(mut self, evacuations: &Evacuations) -> Self {
         let seeds: Vec<u64> = evacuations.zones().map(zone_seed).collect();
@@ -155,7 +159,7 @@
         let each = || self.agents.iter().enumerate();
         let mut processes: Vec<_> = each().map(|(i, a)| (a.process, i)).collect();
         processes.sort_unstable();
-        let mut ring: Vec<_> = each().map(|(i, a)| (ring_place(a.control), i)).collect();
+        let mut ring: Vec<_> = each().map(|(i, a)| (ring_position(a.control), i)).collect();
         ring.sort_unstable();
         let may_hold_more = |a: &AgentEntry| a.coverage == FlowCoverage::Partial;
         let partial = each().filter(|(_, a)| may_hold_more(a)).map(|(i, _)| i).collect();
@@ -172,8 +176,8 @@
                 _ => {}
             }
         }
-        let first_start = self.agents.iter().map(|a| a.started).min();
-        Self { processes, ring, partial, services, first_start, agents: self.agents }
+        let earliest_start = self.agents.iter().map(|a| a.started).min();
+        Self { processes, ring, partial, services, earliest_start, agents: self.agents }
     }
 
     /// Returns all agents.
@@ -193,26 +197,26 @@
         self.agents.is_empty()
     }
 
-    /// Returns the agent of this process number.
+    /// Returns the agent with this process id.
     #[must_use]
     pub fn get(&self, process: ProcessId) -> Option<&AgentEntry> {
         let at = self.processes.binary_search_by_key(&process, |(process, _)| *process).ok()?;
         Some(&self.agents[self.processes[at].1])
     }
 
-    /// Returns the agent that takes packets at `data`, whichever run of it was known before: its target may
-    /// have outlived that run.
+    /// Returns the agent that receives packets at `data`, even if another run of it was known
+    /// before: its target may have outlived that run.
     #[must_use]
     pub fn at(&self, data: SocketAddrV4) -> Option<&AgentEntry> {
         let i = self.agents.partition_point(|a| a.data < data);
         self.agents.get(i).filter(|a| a.data == data)
     }
 
-    /// Returns the agents of `service` that take new flows: those that serve, or, where none does, those that do not
-    /// answer; none of an evacuated data centre.
+    /// Returns the agents of `service` that take new flows: those that serve, or, if none does, the
+    /// suspect ones. Agents of evacuated data centres are left out.
     ///
-    /// All agents of a small service may stand still at once. They are mostly back before their callers give up, who would use
-    /// up their tries within milliseconds on being told that there is nobody.
+    /// All agents of a small service may pause at once. Mostly they are back before their callers
+    /// give up. Callers told that there is no agent would use up their tries within milliseconds.
     pub fn taking_new(&self, service: ServiceTag) -> impl Iterator<Item = &AgentEntry> {
         let taking = self.services.get(&service).map_or(&[][..], ServiceAgents::taking_new);
         taking.iter().map(|i| &self.agents[*i])
@@ -226,25 +230,26 @@
         self.services.get(&service).is_some_and(all)
     }
 
-    /// Returns the agents that remember the owner of `flow`: of all services, so that a route that
-    /// moves to another service changes nothing.
+    /// Returns the directories of `flow`: the agents, of all services, that record its owner. As
+    /// they don't depend on the service, a route that moves to another service changes nothing.
     pub fn directory(&self, flow: &FlowTuple) -> impl Iterator<Item = &AgentEntry> {
         self.directories(flow).take(DIRECTORY_REPLICAS)
     }
 
-    /// Returns whether `process` is among the agents that remember the owner of `flow`.
+    /// Returns whether `process` is one of the directories of `flow`.
     #[must_use]
     pub fn is_directory(&self, flow: &FlowTuple, process: ProcessId) -> bool {
         self.directory(flow).any(|a| a.process == process)
     }
 
-    /// Returns whether the agent at `control` may be asked who owns `flow`, whether it is in the table or not.
+    /// Returns whether a search for the owner of `flow` may ask the agent at `control`, which need
+    /// not be in the table.
     #[must_use]
     pub fn may_be_asked(&self, flow: &FlowTuple, control: SocketAddrV4) -> bool {
-        let [from, to] = [flow.score(RING_SEED), ring_place(control)]
+        let [from, to] = [flow.score(RING_SEED), ring_position(control)]
             .map(|place| self.ring.partition_point(|(other, _)| *other < place));
         let between = if to >= from { to - from } else { to + self.ring.len() - from };
-        between < DIRECTORIES_ASKED
+        between < DIRECTORIES_SEARCHED
     }
 
     /// Returns the agents that answer, in their order as directories of `flow`.
@@ -253,17 +258,18 @@
     }
 
     fn ring_from(&self, flow: &FlowTuple) -> impl Iterator<Item = &AgentEntry> {
-        // By address: the same agent after a restart.
+        // Positions depend on the address, so that an agent keeps its own after a restart.
         let first = self.ring.partition_point(|(place, _)| *place < flow.score(RING_SEED));
         let (before, after) = self.ring.split_at(first);
         after.iter().chain(before).map(|(_, i)| &self.agents[*i])
     }
 
-    /// Returns where the search for the owner of `flow` goes on behind `place`, other than to `me`: first
-    /// to the directories, then to each agent of `services` whose target may hold it, one data centre after the other.
+    /// Returns the step after `place` in the search for the owner of `flow`, leaving out `me`:
+    /// first the directories, then each agent of `services` whose target may hold the flow, one
+    /// data centre after the other.
     ///
-    /// An agent that knows all flows of its target has told the directories of them, and is visited only where there
-    /// are few agents: that is a second proof, at little cost.
+    /// An agent that knows all flows of its target has told the directories of them. It is visited
+    /// only where there are few agents, as a second proof at little cost.
     #[must_use]
     pub fn next_in_search(
         &self,
@@ -275,15 +281,15 @@
         let (next_directory, below) = match place {
             None => (0, None),
             Some(SearchPlace::Directory(i)) => (usize::from(i) + 1, None),
-            Some(SearchPlace::Holder(score)) => (DIRECTORIES_ASKED, Some(score)),
+            Some(SearchPlace::Holder(score)) => (DIRECTORIES_SEARCHED, Some(score)),
         };
         let directories =
-            self.directories(flow).take(DIRECTORIES_ASKED).enumerate().skip(next_directory);
+            self.directories(flow).take(DIRECTORIES_SEARCHED).enumerate().skip(next_directory);
         let mut directories = directories.filter(|(_, a)| Some(a.process) != me);
         if let Some((i, agent)) = directories.next() {
             return Some((SearchPlace::Directory(u8::try_from(i).unwrap_or(0)), agent));
         }
-        self.visited(services)
+        self.search_candidates(services)
             .into_iter()
             .filter(|a| a.answers() && Some(a.process) != me)
             .map(|a| (search_score(flow, a), a))
@@ -292,37 +298,39 @@
             .map(|(score, agent)| (SearchPlace::Holder(score), agent))
     }
 
-    /// Returns the agents of `services` that a search visits besides directories.
-    fn visited(&self, services: &[ServiceTag]) -> Vec<&AgentEntry> {
+    /// Returns the agents of `services` that a search visits after the directories.
+    fn search_candidates(&self, services: &[ServiceTag]) -> Vec<&AgentEntry> {
         let of_services = || services.iter().filter_map(|service| self.services.get(service));
         let agent = |i: &usize| &self.agents[*i];
-        if of_services().map(|s| s.all.len()).sum::<usize>() <= FEW_AGENTS {
+        if of_services().map(|s| s.all.len()).sum::<usize>() <= VISIT_ALL_LIMIT {
             return of_services().flat_map(|s| s.all.iter()).map(agent).collect();
         }
         let partial = self.partial.iter().map(agent);
         partial.filter(|a| services.contains(&a.service)).collect()
     }
 
-    /// Returns whether a search for the owner of `flow` may miss it, as agents that do not answer are left out: one
-    /// of `services` that may hold flows that no directory knows, or those that remember the owner.
+    /// Returns whether a search for the owner of `flow` may miss it because agents that do not
+    /// answer are left out: either all directories of the flow, or an agent of `services` that may
+    /// hold flows of which no directory knows.
     ///
-    /// One that has never heard from a target has no flows that anybody could miss.
+    /// An agent that has never had a heartbeat from a target has no flows that a search could miss.
     #[must_use]
     pub fn may_miss(&self, flow: &FlowTuple, services: &[ServiceTag]) -> bool {
         let mut remember = self.ring_from(flow).take(DIRECTORY_REPLICAS).peekable();
         let forgotten = remember.peek().is_some() && remember.all(|a| !a.answers());
-        forgotten || self.visited(services).iter().any(|a| !a.answers() && a.slots > 0)
+        forgotten || self.search_candidates(services).iter().any(|a| !a.answers() && a.slots > 0)
     }
 
-    /// Returns whether an agent is older than a process that started at `started`, beyond what clocks differ.
+    /// Returns whether an agent has started before a process that started at `started`, by more
+    /// than clocks differ.
     #[must_use]
     pub fn any_started_before(&self, started: Timestamp) -> bool {
-        self.first_start.is_some_and(|first| started.since(first) > STARTED_APART)
+        self.earliest_start.is_some_and(|first| started.since(first) > START_SKEW)
     }
 }
 
-/// Returns the place of an agent in the search for the owner of `flow`: the data centre's part comes first, as
-/// bytes between data centres cost, and each step between them takes time.
+/// Returns the rank of an agent in the search for the owner of `flow`. The upper bits depend on the
+/// data centre, since traffic between data centres costs and each step between them takes time.
 fn search_score(flow: &FlowTuple, agent: &AgentEntry) -> u64 {
     let zone = flow.score(agent.zone_seed) & ZONE_BITS;
     zone | flow.score(address_seed(agent.control)) & !ZONE_BITS
@@ -336,6 +344,6 @@
     (u64::from(u32::from(*addr.ip())) << 16) | u64::from(addr.port())
 }
 
-fn ring_place(addr: SocketAddrV4) -> u64 {
+fn ring_position(addr: SocketAddrV4) -> u64 {
     xxh3_64(&address_seed(addr).to_le_bytes())
 }
--- a/crates/dillmill-core/src/caller_packets.rs
+++ b/crates/dillmill-core/src/caller_packets.rs
@@ -1,7 +1,9 @@
-//! A packet of the caller of each flow, to ask a target with whether it holds the flow.
+//! Keeps a caller's packet of each flow, with which a target can be asked whether it holds the
+//! flow.
 //!
-//! A target gives back what it does not hold, and takes a packet that it has had already for a copy, as
-//! networks make them. So a packet that is given to it again shows which flows another run of it has taken.
+//! A target returns packets of flows that it does not hold, and takes a packet that it has had
+//! before as one of the duplicates that networks make. So sending a packet again shows which flows
+//! another run of the target has taken.
 
 use std::time::Duration;
 
@@ -9,12 +11,12 @@
 use crate::segment::{Segment, SegmentKind};
 use crate::{FlowTuple, Timestamp};
 
-/// Kept this long after the last packet, as the flows of the target are.
+/// Time for which a packet is kept after the flow's last packet, as the flows of the target are.
 const LIFETIME: Duration = Duration::from_secs(20);
-/// Packets of one generation, most of them bare acknowledgements of 34 bytes.
+/// Maximum number of packets in one generation. Most are bare acknowledgements of 34 bytes.
 const CAPACITY: usize = 4_000;
 
-/// The shortest packet of each flow's caller.
+/// The shortest packet from the caller of each flow.
 #[derive(Debug)]
 pub struct CallerPackets {
     packets: Generations<FlowTuple, Box<[u8]>>,
@@ -27,7 +29,7 @@
 }
 
 impl CallerPackets {
-    /// Keeps a packet that the target is given, if it is the shortest of its flow so far.
+    /// Keeps a packet that is given to the target, if it is the shortest of its flow so far.
     pub fn keep(&mut self, seg: &Segment, packet: &[u8], now: Timestamp) {
         match seg.kind {
             SegmentKind::Data => {}
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Returns the packet kept of `flow`.
+    /// Returns the packet kept for `flow`.
     #[must_use]
     pub fn get(&self, flow: &FlowTuple) -> Option<&[u8]> {
         self.packets.peek(flow).map(AsRef::as_ref)
--- a/crates/dillmill-core/src/directory_catch_up.rs
+++ b/crates/dillmill-core/src/directory_catch_up.rs
@@ -1,7 +1,8 @@
-//! How an agent that has become a directory hears of the flows that it is to remember for others.
+//! Collects the existing records for an agent that has become a directory.
 //!
-//! It becomes one when it starts, or when a target comes to an agent that had none. That it has not heard of a flow
-//! proves something only once all agents have told it of theirs. So it asks each one, until all have answered.
+//! An agent becomes a directory when it starts, or when it gets a target after it had none. That it
+//! has no record of a flow proves something only once all agents have told it of their flows. So it
+//! asks each agent until all have answered.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -9,10 +10,10 @@
 
 use crate::{AgentTable, ProcessId, Timestamp};
 
-/// Agents asked at once: an answer is mostly a few bytes.
-const AT_ONCE: usize = 32;
+/// Maximum number of agents asked in one call. Most answers are a few bytes.
+const MAX_ASKED_PER_CALL: usize = 32;
 /// Time until an agent that has not answered is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(400);
+const ASK_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 #[derive(Debug)]
 struct Unanswered {
@@ -28,11 +29,11 @@
 }
 
 impl DirectoryCatchUp {
-    /// Begins to ask all `agents` other than `me`, which has been a directory from `since` on; call it when they are all
-    /// there are.
+    /// Starts to ask all `agents` other than `me`, which has been a directory since `since`. Call
+    /// it once the table of agents is complete.
     ///
-    /// If none of them is older, all have started together: they know each other's directories from the first flow on,
-    /// and nobody has anything to tell.
+    /// If no agent is older, all have started together. They have known each other as directories
+    /// from the first flow on, so there are no records to collect.
     pub fn begin(&mut self, agents: &AgentTable, me: ProcessId, since: Timestamp) {
         if self.begun {
             return;
@@ -46,12 +47,13 @@
         self.unanswered = others.map(|a| (a.process, unanswered(a.control))).collect();
     }
 
-    /// Returns the control addresses of agents that are to be asked now; call it every 100 ms or so.
+    /// Returns the control addresses of the agents to ask now. Call it about every 100 ms.
     pub fn take_due(&mut self, agents: &AgentTable, now: Timestamp) -> Vec<SocketAddrV4> {
-        // Flows of an agent that is gone can't be asked for, and one that starts again begins with its directories.
+        // The flows of an agent that is gone cannot be asked for, and an agent that starts again
+        // registers its flows with its directories from the start.
         self.unanswered.retain(|process, _| agents.get(*process).is_some());
-        let due = |u: &&mut Unanswered| u.asked.is_none_or(|at| now.since(at) >= ASK_AGAIN);
-        let due = self.unanswered.values_mut().filter(due).take(AT_ONCE);
+        let due = |u: &&mut Unanswered| u.asked.is_none_or(|at| now.since(at) >= ASK_RETRY_DELAY);
+        let due = self.unanswered.values_mut().filter(due).take(MAX_ASKED_PER_CALL);
         due.map(|unanswered| {
             unanswered.asked = Some(now);
             unanswered.control
@@ -59,12 +61,12 @@
         .collect()
     }
 
-    /// Takes in that an agent has told of all its flows.
+    /// Notes that an agent has told of all its flows.
     pub fn answered(&mut self, process: ProcessId) {
         self.unanswered.remove(&process);
     }
 
-    /// Returns whether all agents have told.
+    /// Returns whether all agents have answered.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.begun && self.unanswered.is_empty()
--- a/crates/dillmill-core/src/early_packets.rs
+++ b/crates/dillmill-core/src/early_packets.rs
@@ -1,8 +1,8 @@
-//! Packets of callers that reach a balancer before it knows routes and agents.
+//! Keeps packets of callers that reach a balancer before it knows routes and agents.
 //!
-//! Callers repeat a packet after 0.2, 0.4, 0.8 and 1.6 s. After a loss of power some of them send their last packet before
-//! they give up while the balancers are just back and know nobody yet, for some 0.2 s. So these packets are kept
-//! until they can be routed.
+//! Callers repeat a packet after 0.2, 0.4, 0.8 and 1.6 s. After a power failure, some callers send
+//! their last packet before they give up in the first 0.2 s or so of the restarted balancers, when
+//! these know no agent yet. So such packets are kept until they can be routed.
 
 use std::time::Duration;
 
@@ -10,20 +10,21 @@
 use crate::link_queue::PacketId;
 use crate::{FlowTuple, Timestamp};
 
-/// Packets kept at most in one generation: 1.2 MB of full ones.
+/// Maximum number of packets in one generation: 1.2 MB with packets of full size.
 const CAPACITY: usize = 1000;
-/// How long a packet is kept at least. Its caller has sent it again by then, or has given up.
+/// Minimum time for which a packet is kept. By then its caller has sent it again or has given up.
 const LIFETIME: Duration = Duration::from_secs(1);
 
-/// Time between two looks at them: while a process starts its view changes some hundred times a second.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Minimum time between two attempts to route the packets. While a process starts, its view changes
+/// some hundred times a second.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A packet that could not be routed when it came.
+/// A packet that could not be routed on arrival.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EarlyPacket {
-    /// When it came.
+    /// Arrival time.
     pub at: Timestamp,
-    /// Its content.
+    /// Content of the packet.
     pub buf: Vec<u8>,
 }
 
@@ -31,27 +32,28 @@
 #[derive(Debug)]
 pub struct EarlyPackets {
     kept: Generations<(FlowTuple, PacketId), EarlyPacket>,
-    looked: Timestamp,
+    last_taken: Timestamp,
 }
 
 impl Default for EarlyPackets {
     fn default() -> Self {
-        Self { kept: Generations::new(LIFETIME, CAPACITY), looked: Timestamp::default() }
+        Self { kept: Generations::new(LIFETIME, CAPACITY), last_taken: Timestamp::default() }
     }
 }
 
 impl EarlyPackets {
-    /// Keeps a packet; a copy takes the place of the one before.
+    /// Keeps a packet, which replaces an earlier copy of itself.
     pub fn keep(&mut self, flow: FlowTuple, id: PacketId, packet: EarlyPacket, now: Timestamp) {
         self.kept.insert((flow, id), packet, now);
     }
 
-    /// Returns the packets that are not too old, in the order in which they came, if a look at them is due.
+    /// Removes all packets and returns those that are not too old in order of arrival, if an
+    /// attempt to route them is due.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<EarlyPacket> {
-        if self.kept.is_empty() || now.since(self.looked) < LOOK_EVERY {
+        if self.kept.is_empty() || now.since(self.last_taken) < RETRY_INTERVAL {
             return Vec::new();
         }
-        self.looked = now;
+        self.last_taken = now;
         let kept = self.kept.iter().map(|(_, packet)| packet);
         let mut due: Vec<_> = kept.filter(|p| now.since(p.at) <= LIFETIME).cloned().collect();
         self.kept.clear();
--- a/crates/dillmill-core/src/envelope.rs
+++ b/crates/dillmill-core/src/envelope.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other on a packet that they pass on.
+//! Header that processes put before a packet that they pass on.
 
 use std::net::SocketAddrV4;
 
@@ -9,36 +9,37 @@
 /// Why a packet is sent to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PacketPurpose {
-    /// It opens a flow, and the agent is to have its target take it.
+    /// The packet opens a flow, and the agent is to give it to its target.
     Place {
-        /// Agents that have passed it on already.
+        /// Agents that have already passed the packet on.
         passed: Vec<ProcessId>,
     },
-    /// It belongs to a flow that the sender takes for the agent's.
+    /// The packet belongs to a flow of which the sender assumes that the agent owns it.
     Deliver,
-    /// It belongs to a flow whose owner the sender does not know.
+    /// The packet belongs to a flow whose owner the sender does not know.
     Search(Search),
-    /// A directory, or an agent that has passed the flow on, says that the agent owns it.
+    /// A directory, or an agent that has passed the flow on, has named the agent as the owner.
     Directed {
-        /// Where the search goes on if that is wrong.
+        /// State from which the search goes on if the agent is not the owner.
         search: Search,
-        /// How often the packet was directed already.
+        /// Number of times that the packet has been directed so far.
         times: u8,
     },
 }
 
-/// How far the search for the owner of a flow has come.
+/// State of the search for the owner of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Search {
-    /// The agent that has the packet, or had it last, in the order of search; none before the first.
+    /// Place in the search order of the agent that has the packet, or had it last; `None` before
+    /// the first.
     pub place: Option<SearchPlace>,
-    /// Agents that have had the packet.
+    /// Number of agents that have had the packet.
     pub steps: u16,
-    /// Each of them could tell that its target does not hold the flow.
+    /// Whether each of these agents could tell that its target does not hold the flow.
     pub sure: bool,
-    /// One of the flow's directories, which is told of all flows, was not told of this one.
+    /// Whether one of the flow's directories that is told of all flows has no record of this one.
     pub told: bool,
-    /// Whom it visits.
+    /// Which agents the search visits.
     pub scope: SearchScope,
 }
 
@@ -50,43 +51,44 @@
 }
 
 impl Search {
-    /// Returns whether a search that has found nobody proves that nobody holds the flow.
+    /// Returns whether a search that has found no owner proves that no agent holds the flow.
     #[must_use]
     pub fn proves(&self) -> bool {
         self.sure && self.told
     }
 }
 
-/// Whom a search visits.
+/// Which agents a search visits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SearchScope {
-    /// The flow's directories, then each agent whose target may hold flows that it does not know.
+    /// The flow's directories, then each agent whose target may hold flows that the agent does not
+    /// know.
     All,
-    /// The directories once more: the agents have just been asked, and one that has taken the flow meanwhile
-    /// has registered it.
+    /// Only the flow's directories, again: the other agents have just been asked, and one that has
+    /// taken the flow meanwhile has registered it.
     Directories,
 }
 
-/// A place in the order of search.
+/// A place in the search order.
 ///
-/// It does not count agents, since two processes may know different ones.
+/// It is not an index into the agents, since two processes may know different ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SearchPlace {
-    /// This one of the flow's directories.
+    /// The flow's directory with this index.
     Directory(u8),
-    /// The agent with this score among those whose targets may hold the flow.
+    /// The agent with this search score among those whose targets may hold the flow.
     Holder(u64),
 }
 
-/// Stands before a packet between two processes.
+/// Header of a packet that one process sends to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Service that the packet is meant for.
+    /// Service for which the packet is meant.
     pub service: ServiceTag,
-    /// Revision of the settings by which it was routed.
+    /// Revision of the settings by which the packet was routed.
     pub revision: Revision,
-    /// Control address of the balancer that took it from the caller.
+    /// Control address of the balancer that received the packet from the caller.
     pub origin: SocketAddrV4,
-    /// Why it is sent.
+    /// Why the packet is sent.
     pub purpose: PacketPurpose,
 }
--- a/crates/dillmill-core/src/flow_directory.rs
+++ b/crates/dillmill-core/src/flow_directory.rs
@@ -1,4 +1,4 @@
-//! An agent's memory of who owns the flows of others.
+//! Records at an agent of the owners of other agents' flows.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -8,30 +8,33 @@
 use crate::generations::Generations;
 use crate::{FlowTuple, ProcessId, Timestamp};
 
-/// Longer than the oldest flow that must be found again; owners register again on changes.
+/// Time for which a record is kept: longer than the age of the oldest flow that must be found
+/// again. Owners register their flows again when the directories change.
 const RECORD_LIFETIME: Duration = Duration::from_secs(70);
-/// Records of one generation; 7.7 million flows twice over 5,600 agents are 2,750 each.
+/// Maximum number of flows in one generation. 7.7 million flows with two directories each, over
+/// 5,600 agents, are 2,750 per agent.
 const CAPACITY: usize = 50_000;
-/// A caller sends its opening packet three times, and as many targets may answer; one record more says where it was
-/// passed on.
-const CLAIMS: usize = 4;
+/// Maximum number of records of one flow. A caller sends its opening packet three times, and as
+/// many targets may answer; one more record names the agent to which the packet was passed.
+const MAX_CLAIMS: usize = 4;
 
-/// Says that a target has answered the opening packet of a flow.
+/// States that a target has answered the opening packet of a flow, or that the packet was passed to
+/// the target's agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlowRecord {
     /// The flow.
     pub flow: FlowTuple,
-    /// Number with which the target began, where its answer was seen.
+    /// Initial sequence number of the target, if its answer to the opening packet was seen.
     pub target_seq: Option<u32>,
     /// The caller has acknowledged this target, so no other can own the flow.
     pub open: bool,
-    /// The target's agent.
+    /// Agent of the target.
     pub owner: ProcessId,
-    /// Where packets reach it.
+    /// Data address of the agent.
     pub data: SocketAddrV4,
 }
 
-/// The records that other agents have left here.
+/// The records that a directory keeps for other agents.
 #[derive(Debug)]
 pub struct FlowDirectory {
     records: Generations<FlowTuple, Vec<FlowRecord>>,
@@ -44,7 +47,7 @@
 }
 
 impl FlowDirectory {
-    /// Takes a record in.
+    /// Adds a record.
     pub fn register(&mut self, record: FlowRecord, now: Timestamp) {
         let mut claims = match self.records.remove(&record.flow) {
             Some(claims) if !record.open => claims,
@@ -52,11 +55,12 @@
         };
         claims.retain(|other| other.data != record.data);
         claims.insert(0, record);
-        if claims.len() > CLAIMS {
-            // What says least goes first: where the packet was passed on, then whose target answered last.
-            let says = |r: &FlowRecord| (r.open, r.target_seq.is_some());
+        if claims.len() > MAX_CLAIMS {
+            // The least certain record is removed first: one of where the packet was passed, then
+            // one of the target that answered longest ago.
+            let certainty = |r: &FlowRecord| (r.open, r.target_seq.is_some());
             let behind = claims.iter().enumerate().skip(1);
-            let least = behind.min_by_key(|(i, r)| (says(r), std::cmp::Reverse(*i)));
+            let least = behind.min_by_key(|(i, r)| (certainty(r), std::cmp::Reverse(*i)));
             if let Some((i, _)) = least {
                 claims.remove(i);
             }
@@ -64,7 +68,7 @@
         self.records.insert(record.flow, claims, now);
     }
 
-    /// Returns the owner of a flow whose caller expects byte `ack` of the target next.
+    /// Returns the most likely owner of a flow whose caller expects byte `ack` of the target next.
     pub fn owner(&mut self, flow: &FlowTuple, ack: u32, now: Timestamp) -> Option<FlowRecord> {
         let claims = self.records.get_mut(flow, now)?;
         let distance = |r: &&FlowRecord| r.target_seq.map_or(u32::MAX, |seq| ack.wrapping_sub(seq));
--- a/crates/dillmill-core/src/flow_gate.rs
+++ b/crates/dillmill-core/src/flow_gate.rs
@@ -1,15 +1,16 @@
-//! What an agent does with a packet: the last word before its target.
+//! Decides what an agent does with each packet: deliver it to the target, queue it, pass it to
+//! another agent, search for its owner or refuse it.
 //!
-//! The agent is the last hop, so it decides by what it knows first-hand, whatever a balancer
-//! believed: whether its target is leaving, full or of another service, whether the target holds the
-//! flow, and whether newer settings send the flow elsewhere.
+//! The agent is the last hop before its target. It decides by its own observations, which override
+//! what a balancer assumed: whether the target is leaving, full or of another service, whether the
+//! target holds the flow, and whether newer settings send the flow elsewhere.
 //!
 //! | Part | Decides |
 //! |---|---|
 //! | `opening` | whether a new flow is given to the target, waits, goes on to another agent or is refused |
-//! | `waiting` | which of those that wait is next |
-//! | `finding` | where the owner of an open flow is looked for, and when nobody holds it |
-//! | `target` | whether there is a target, what it can take, and which run of it speaks |
+//! | `waiting` | which waiting packet is next |
+//! | `finding` | where the owner of an open flow is looked for, and when no agent holds it |
+//! | `target` | whether there is a target, what it can take, and which run of it sends heartbeats |
 
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -40,31 +41,35 @@
 pub use context::GateContext;
 pub use run_change::RunChange;
 pub use verdict::{PassReason, RefuseReason, TargetPresence, TargetStanding, Verdict};
-use waiting::TakenOpen;
-
-/// After this time every flow that began before the agent did is over or may be forgotten.
-const ALL_FLOWS_SEEN: Duration = Duration::from_mins(1);
-/// Heartbeats that a living target sends at least two of in this many intervals.
-const HEARTBEATS_MISSED: f64 = 2.5;
-/// Interval of heartbeats where the settings give none.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(1200);
-/// A target that has said that it ends is gone after this time: it still sends what it has ready.
-const ENDED_AFTER: Duration = Duration::from_secs(1);
-/// Packets given to the target on trial that are remembered until it gives them back.
-const TRIALS: usize = 1024;
-/// Flows of one generation that the target has given back, 12 bytes each.
-const NOT_HELD: usize = 20_000;
-
-/// Why new flows go elsewhere, whatever the target does.
+use waiting::DispatchedOpen;
+
+/// Age of the agent after which it knows each flow of its target: every flow that began before the
+/// agent started has ended by then or may be forgotten.
+const FULL_COVERAGE_AFTER: Duration = Duration::from_mins(1);
+/// Number of heartbeat intervals in which a live target sends at least two heartbeats. A target
+/// that sends none in this time is taken as absent.
+const MISSED_HEARTBEATS: f64 = 2.5;
+/// Heartbeat interval where the settings give none.
+const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
+/// Time after which a target that has announced its end is gone. Until then it still sends the data
+/// that it has ready.
+const GONE_GRACE_PERIOD: Duration = Duration::from_secs(1);
+/// Maximum number of packets given to the target on trial that are remembered until the target
+/// returns them.
+const MAX_TRIALS: usize = 1024;
+/// Maximum number of flows in one generation that the target has returned, 12 bytes each.
+const NOT_HELD_CAPACITY: usize = 20_000;
+
+/// Reasons of the agent's own to send new flows elsewhere, whatever the state of the target.
 #[derive(Debug, Clone, Copy, Default)]
-struct Closed {
-    /// The agent itself ends.
+struct DrainReasons {
+    /// The agent itself is stopping.
     stopping: bool,
-    /// The data centre is to get no new flows.
+    /// The data centre is evacuated: it gets no new flows.
     evacuated: bool,
 }
 
-/// The state of an agent before its target.
+/// State of an agent and its target by which the agent decides on packets.
 #[derive(Debug)]
 pub struct FlowGate {
     me: ProcessId,
@@ -73,29 +78,31 @@
     slots: u16,
     standing: TargetStanding,
     presence: TargetPresence,
-    /// What the target may get while it has only just started.
+    /// Limits the requests to a target that has just started.
     cold: ColdStart,
-    /// Since when there is no target.
+    /// Time since which there is no target.
     no_target_since: Option<Timestamp>,
-    closed: Closed,
+    drain: DrainReasons,
     started: Timestamp,
     heartbeat_every: Duration,
-    /// The target has started after the agent, so that every flow of it is known.
-    sees_all: bool,
+    /// The target has started after the agent, so the agent knows each of its flows.
+    full_coverage: bool,
     flows: TargetFlows,
     directory: FlowDirectory,
     /// Opening packets that wait for the target.
     opens: OpenQueue,
-    /// Those that had their turn, until it is known whether their callers were still there.
-    taken: VecDeque<TakenOpen>,
+    /// Packets that have left the queue, kept until it is known whether their callers were still
+    /// there.
+    dispatched: VecDeque<DispatchedOpen>,
     trials: Vec<Option<Envelope>>,
     next_trial: usize,
-    /// Flows that the target has given back. It can hold one only after an opening packet that passed here.
+    /// Flows whose packets the target has returned. The target can only come to hold such a flow
+    /// through an opening packet that passes this gate.
     not_held: Generations<FlowTuple, ()>,
 }
 
 impl FlowGate {
-    /// Creates the gate of the agent `me`, which takes packets at `data`.
+    /// Creates the gate of the agent `me`, which receives packets at `data`.
     #[must_use]
     pub fn new(me: ProcessId, data: SocketAddrV4, service: ServiceTag, now: Timestamp) -> Self {
         Self {
@@ -107,28 +114,28 @@
             presence: TargetPresence::Unknown,
             cold: ColdStart::default(),
             no_target_since: None,
-            closed: Closed::default(),
+            drain: DrainReasons::default(),
             started: now,
-            heartbeat_every: HEARTBEAT_EVERY,
-            sees_all: false,
+            heartbeat_every: DEFAULT_HEARTBEAT_INTERVAL,
+            full_coverage: false,
             flows: TargetFlows::default(),
             directory: FlowDirectory::default(),
             opens: OpenQueue::new(now),
-            taken: VecDeque::new(),
-            trials: vec![None; TRIALS],
+            dispatched: VecDeque::new(),
+            trials: vec![None; MAX_TRIALS],
             next_trial: 0,
-            not_held: Generations::new(ALL_FLOWS_SEEN, NOT_HELD),
+            not_held: Generations::new(FULL_COVERAGE_AFTER, NOT_HELD_CAPACITY),
         }
     }
 
-    /// Sets the interval of a target's heartbeats.
+    /// Sets the interval of the target's heartbeats.
     #[must_use]
     pub fn heartbeat_every(mut self, every: Duration) -> Self {
         self.heartbeat_every = every;
         self
     }
 
-    /// Takes in the record of a flow of another agent.
+    /// Adds the record of a flow of another agent to the directory.
     pub fn register(&mut self, record: FlowRecord, now: Timestamp) {
         self.directory.register(record, now);
     }
@@ -165,7 +172,7 @@
         }
     }
 
-    /// Decides on a packet that the target has given back.
+    /// Decides on a packet that the target has returned.
     pub fn returned(&mut self, seg: &Segment, context: GateContext<'_>, now: Timestamp) -> Verdict {
         let trial = usize::try_from(seg.mark)
             .ok()
@@ -183,13 +190,14 @@
         }
     }
 
-    /// Takes in a packet of the target on its way to the caller.
+    /// Handles a packet from the target to the caller.
     pub fn answered(&mut self, seg: &Segment, now: Timestamp) -> Answered {
         let late = seg.kind != SegmentKind::Accept
             && self.not_held.peek(&seg.flow).is_some()
             && !self.flows.knows(&seg.flow);
         if late {
-            // The last words of a run that has ended are passed on, and open no flow.
+            // A run that has ended may still have sent packets. They are passed on, but open no
+            // flow.
             let stray_reset = seg.kind == SegmentKind::Reset;
             return Answered { record: None, answered: None, stray_reset };
         }
@@ -199,7 +207,7 @@
         Answered { record, answered: noted.answered, stray_reset: noted.stray_reset }
     }
 
-    /// Returns where packets reach the agent.
+    /// Returns the data address of the agent, at which it receives packets.
     #[must_use]
     pub fn data(&self) -> SocketAddrV4 {
         self.data
--- a/crates/dillmill-core/src/flow_gate/answered.rs
+++ b/crates/dillmill-core/src/flow_gate/answered.rs
@@ -1,14 +1,17 @@
+//! Result of a packet from the target to a caller.
+
 use std::time::Duration;
 
 use crate::flow_directory::FlowRecord;
 
-/// What follows from a packet of the target.
+/// What the agent has to do for a packet from the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answered {
-    /// The record of a flow that the directory must learn of.
+    /// Record of a new flow, to be sent to the flow's directories.
     pub record: Option<FlowRecord>,
-    /// How long the request took whose answer begins.
+    /// Duration of the request whose answer begins with this packet.
     pub answered: Option<Duration>,
-    /// The packet resets a flow that the target may never have owned, and must not reach the caller.
+    /// The packet resets a flow that the target may never have owned, and must not reach the
+    /// caller.
     pub stray_reset: bool,
 }
--- a/crates/dillmill-core/src/flow_gate/arrival.rs
+++ b/crates/dillmill-core/src/flow_gate/arrival.rs
@@ -1,10 +1,12 @@
+//! A packet to decide on, with its envelope and the agent's present knowledge.
+
 use super::GateContext;
 use crate::envelope::Envelope;
 use crate::route_table::RouteEntry;
 use crate::segment::Segment;
 use crate::{ServiceTag, Timestamp};
 
-/// A packet, what came with it, and what is known at that moment.
+/// A packet, its envelope, and the state of the process when it arrived.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Arrival<'a> {
     pub(super) seg: &'a Segment,
--- a/crates/dillmill-core/src/flow_gate/context.rs
+++ b/crates/dillmill-core/src/flow_gate/context.rs
@@ -1,15 +1,18 @@
+//! State of the process, outside the gate, that decisions on packets use.
+
 use crate::agent_table::AgentTable;
 use crate::route_table::RouteTable;
 
-/// What a decision rests on besides the gate's own state.
+/// Input of a decision besides the gate's own state.
 #[derive(Debug, Clone, Copy)]
 pub struct GateContext<'a> {
     /// Agents that are not known to be down.
     pub agents: &'a AgentTable,
-    /// Routes in force.
+    /// Routes of the settings in force.
     pub routes: &'a RouteTable,
-    /// The agents are all there are, as far as can be told: not so in the first moments of a process.
+    /// The table of agents is complete as far as the process can tell. It is not in the first
+    /// moments after the process has started.
     pub settled: bool,
-    /// The others have told this agent of all flows whose owners it is to remember.
+    /// All other agents have told this agent of the flows that it records as their directory.
     pub told: bool,
 }
--- a/crates/dillmill-core/src/flow_gate/finding.rs
+++ b/crates/dillmill-core/src/flow_gate/finding.rs
@@ -1,28 +1,30 @@
-//! How an agent finds the owner of an open flow.
+//! Finds the owner of an open flow, and decides when no agent holds it.
 
 use super::lookup::Lookup;
-use super::opening::PLACE_HOPS;
+use super::opening::MAX_PLACE_HOPS;
 use super::{
-    Arrival, FlowGate, PassReason, RefuseReason, TRIALS, TargetPresence, TargetStanding, Verdict,
+    Arrival, FlowGate, MAX_TRIALS, PassReason, RefuseReason, TargetPresence, TargetStanding,
+    Verdict,
 };
 use crate::FlowCoverage;
 use crate::envelope::{Envelope, PacketPurpose, Search, SearchPlace, SearchScope};
 use crate::segment::SegmentKind;
 use crate::target_flows::Fit;
 
-/// Steps of a search beyond the number of agents, each of which it visits once but for directories: this only ends
-/// one that goes wrong.
-const SPARE_STEPS: usize = 16;
-/// How often a packet is sent where a record says before the search goes on in order: an opening packet
-/// passed on three times leaves as many records.
-const DIRECTIONS: u8 = 4;
+/// Search steps allowed beyond the number of agents. A search visits each agent once, except for
+/// directories, so this limit only stops a search that goes wrong.
+const EXTRA_SEARCH_STEPS: usize = 16;
+/// Maximum number of times that a packet follows a directory record before the search goes on in
+/// its usual order. An opening packet passed on three times leaves as many records.
+const MAX_REDIRECTS: u8 = 4;
 
 impl FlowGate {
-    /// Decides on a packet of a flow that should be open somewhere.
+    /// Decides on a packet of a flow that should be open at some agent. A further request on a flow
+    /// waits while the target is cold.
     pub(super) fn find(&mut self, arrival: Arrival<'_>, lookup: Lookup) -> Verdict {
         let Arrival { seg, env, now, .. } = arrival;
-        // A target may turn cold beside its open flows, and would fall over with all of them. A request that comes a
-        // moment later is answered.
+        // A target may turn cold while it has open flows, and would crash if requests came on all
+        // of them at once. A request that is delayed for a moment is still answered.
         if self.flows.begins_further(seg) && !self.cold.room(now) {
             let terms = self.wait_terms(arrival, 0).of_open_flow();
             return Verdict::Wait { terms, envelope: env.clone(), tell: None };
@@ -33,7 +35,8 @@
         self.find_now(arrival, lookup)
     }
 
-    /// Decides on a packet of a flow that should be open somewhere, whatever the target has to do.
+    /// Decides on a packet of a flow that should be open at some agent, whatever the load of the
+    /// target.
     pub(super) fn find_now(&mut self, arrival: Arrival<'_>, lookup: Lookup) -> Verdict {
         let Arrival { seg, env, context, now } = arrival;
         let fit = self.flows.note_caller(seg, self.slots, now);
@@ -43,56 +46,62 @@
             }
             return Verdict::Deliver { mark: 0, tell: lookup.searched.then_some(env.origin) };
         }
-        if let Some(verdict) = self.direct(arrival, lookup) {
+        if let Some(verdict) = self.redirect_to_record(arrival, lookup) {
             return verdict;
         }
-        let lookup = if context.settled { lookup } else { lookup.unsure() };
+        let lookup = if context.settled { lookup } else { lookup.mark_unsure() };
         let told = context.settled && context.told;
         let told = told && context.agents.is_directory(&seg.flow, self.me);
-        let lookup = if told { lookup.told() } else { lookup };
+        let lookup = if told { lookup.mark_told() } else { lookup };
         let may_hold = fit == Fit::Unknown
             && self.coverage(now) == FlowCoverage::Partial
             && self.not_held.peek(&seg.flow).is_none()
             && arrival.services().contains(&self.service);
         if !may_hold {
-            return self.search_on(arrival, lookup);
+            return self.continue_search(arrival, lookup);
         }
         let unheard = self.standing == TargetStanding::Unknown;
         if unheard && self.presence == TargetPresence::Unknown {
-            // Nothing tells yet whether there is a target that could give the packet back.
-            return Verdict::Try { onward: Box::new(self.search_on(arrival, lookup.unsure())) };
+            // It is not known yet whether there is a target that could return the packet, so the
+            // search goes on in parallel.
+            return Verdict::Try {
+                onward: Box::new(self.continue_search(arrival, lookup.mark_unsure())),
+            };
         }
         if self.cold.is_cold(now) && !lookup.claimed && !lookup.search.sure {
-            // A search that proves nothing is about flows that run, and such a target has hardly any yet.
-            return self.search_on(arrival, lookup);
+            // A search that is not sure cannot prove that a flow is missing. It only serves to find
+            // running flows, of which a target that has just started has hardly any.
+            return self.continue_search(arrival, lookup);
         }
         let purpose = PacketPurpose::Search(lookup.search);
         let mark = self.begin_trial(Envelope { purpose, ..env.clone() });
         Verdict::Deliver { mark, tell: None }
     }
 
-    /// Passes a packet to the agent that a record names as the owner of its flow.
-    fn direct(&mut self, arrival: Arrival<'_>, lookup: Lookup) -> Option<Verdict> {
+    /// Passes a packet to the agent that a directory record names as the owner of its flow.
+    fn redirect_to_record(&mut self, arrival: Arrival<'_>, lookup: Lookup) -> Option<Verdict> {
         let Arrival { seg, env, context, now } = arrival;
-        if lookup.directed >= DIRECTIONS {
+        if lookup.redirects >= MAX_REDIRECTS {
             return None;
         }
         let record = self.directory.owner(&seg.flow, seg.ack, now)?;
         if record.data == self.data || context.agents.at(record.data).is_none() {
             return None;
         }
-        let purpose = PacketPurpose::Directed { search: lookup.search, times: lookup.directed + 1 };
+        let purpose =
+            PacketPurpose::Directed { search: lookup.search, times: lookup.redirects + 1 };
         let envelope = Envelope { purpose, ..env.clone() };
         Some(Verdict::Pass { to: record.data, envelope, reason: PassReason::Directed })
     }
 
-    /// Sends a packet to the next agent in the order of search.
-    pub(super) fn search_on(&self, arrival: Arrival<'_>, lookup: Lookup) -> Verdict {
+    /// Passes a packet to the next agent in the search order. Reports the flow as missing if the
+    /// search is complete and proves that no agent holds it.
+    pub(super) fn continue_search(&self, arrival: Arrival<'_>, lookup: Lookup) -> Verdict {
         let Arrival { seg, env, context, .. } = arrival;
         let services = arrival.services();
         let me = Some(self.me);
         let so_far = lookup.search;
-        if usize::from(so_far.steps) >= context.agents.len() + SPARE_STEPS {
+        if usize::from(so_far.steps) >= context.agents.len() + EXTRA_SEARCH_STEPS {
             return Verdict::Drop;
         }
         let next = context.agents.next_in_search(&seg.flow, &services, so_far.place, me);
@@ -114,7 +123,7 @@
     }
 
     pub(super) fn begin_trial(&mut self, env: Envelope) -> u32 {
-        self.next_trial = (self.next_trial + 1) % TRIALS;
+        self.next_trial = (self.next_trial + 1) % MAX_TRIALS;
         self.trials[self.next_trial] = Some(env);
         u32::try_from(self.next_trial + 1).unwrap_or(0)
     }
@@ -125,7 +134,7 @@
             (PacketPurpose::Place { passed, .. }, SegmentKind::Open { .. }) => {
                 let reason = PassReason::Returned;
                 let refused = self.refuse(RefuseReason::NoTarget, env, passed);
-                if passed.len() > PLACE_HOPS {
+                if passed.len() > MAX_PLACE_HOPS {
                     return refused;
                 }
                 self.pass_on(arrival, env.service, passed, reason).unwrap_or(refused)
@@ -133,7 +142,7 @@
             (purpose @ (PacketPurpose::Search(_) | PacketPurpose::Deliver), kind)
                 if !matches!(kind, SegmentKind::Open { .. }) =>
             {
-                self.search_on(arrival, purpose.into())
+                self.continue_search(arrival, purpose.into())
             }
             _ => Verdict::Drop,
         }
--- a/crates/dillmill-core/src/flow_gate/lookup.rs
+++ b/crates/dillmill-core/src/flow_gate/lookup.rs
@@ -1,29 +1,30 @@
-//! How a packet of an open flow came to an agent.
+//! Tracks how a packet of an open flow came to an agent, and how far the search for its owner has
+//! come.
 
 use crate::envelope::{PacketPurpose, Search};
 
-/// What is known of the way of a packet whose flow should be open somewhere.
+/// What is known of the path of a packet whose flow should be open at some agent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Lookup {
-    /// The search so far; one that has not begun yet has no place.
+    /// State of the search; its place is `None` before the first step.
     pub search: Search,
-    /// How often the packet was sent where a record said.
-    pub directed: u8,
-    /// The balancer did not know the owner.
+    /// Number of times that the packet has followed a directory record.
+    pub redirects: u8,
+    /// The packet was sent to search for the owner, which the balancer did not know.
     pub searched: bool,
-    /// The sender takes this agent for the owner.
+    /// The sender assumes that this agent owns the flow.
     pub claimed: bool,
 }
 
 impl Lookup {
-    /// One of the directories asked is told of all flows, and not of this one.
-    pub(super) fn told(mut self) -> Self {
+    /// Notes that one of the flow's directories is told of all flows and has no record of this one.
+    pub(super) fn mark_told(mut self) -> Self {
         self.search.told = true;
         self
     }
 
-    /// One of the agents asked can't tell whether its target holds the flow.
-    pub(super) fn unsure(mut self) -> Self {
+    /// Notes that one of the agents asked cannot tell whether its target holds the flow.
+    pub(super) fn mark_unsure(mut self) -> Self {
         self.search.sure = false;
         self
     }
@@ -31,14 +32,14 @@
 
 impl From<&PacketPurpose> for Lookup {
     fn from(purpose: &PacketPurpose) -> Self {
-        let (search, directed) = match *purpose {
+        let (search, redirects) = match *purpose {
             PacketPurpose::Place { .. } | PacketPurpose::Deliver => (Search::default(), 0),
             PacketPurpose::Search(search) => (search, 0),
             PacketPurpose::Directed { search, times } => (search, times),
         };
         Self {
             search,
-            directed,
+            redirects,
             searched: matches!(purpose, PacketPurpose::Search(_) | PacketPurpose::Directed { .. }),
             claimed: !matches!(purpose, PacketPurpose::Search(_)),
         }
--- a/crates/dillmill-core/src/flow_gate/opening.rs
+++ b/crates/dillmill-core/src/flow_gate/opening.rs
@@ -1,4 +1,4 @@
-//! What an agent does with an opening packet.
+//! Decides on opening packets: deliver to the target, queue, pass to another agent or refuse.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -12,13 +12,14 @@
 use crate::segment::Segment;
 use crate::{ProcessId, ServiceTag, Timestamp, patience};
 
-/// Agents that may pass an opening packet on before the last one must decide.
-pub(super) const PLACE_HOPS: usize = 3;
-/// The same while the targets are cold: a step or two find a warm one if most are, and if all are cold each step is in
-/// vain.
-const COLD_HOPS: usize = 2;
-/// Work ahead of a new request that a route without an aim allows, in rounds.
-const ROUNDS: u32 = 3;
+/// Number of agents that may pass an opening packet on; the next one must decide.
+pub(super) const MAX_PLACE_HOPS: usize = 3;
+/// The same limit while the targets are cold. If most targets are warm, one or two steps find one;
+/// if all are cold, each step is in vain.
+const MAX_COLD_HOPS: usize = 2;
+/// Time that a request may wait on a route without a latency aim, in multiples of the time that the
+/// target takes for one request.
+const DEFAULT_WAIT_ROUNDS: u32 = 3;
 
 impl FlowGate {
     /// Decides on a packet that opens a flow.
@@ -28,7 +29,7 @@
         copies: u32,
         passed: &[ProcessId],
     ) -> Verdict {
-        if let Some(verdict) = self.place_elsewhere(arrival, passed) {
+        if let Some(verdict) = self.redirect_or_refuse(arrival, passed) {
             return verdict;
         }
         let Arrival { seg, env, now, .. } = arrival;
@@ -43,8 +44,9 @@
                 (false, true) => PassReason::Crowded,
                 (false, false) => PassReason::Full,
             };
-            // Bytes between data centres cost, so a wait that the aim allows stays in this one.
-            let hops = if cold { COLD_HOPS } else { PLACE_HOPS };
+            // Traffic between data centres costs, so a request that can wait here within the
+            // latency aim is not sent to another data centre.
+            let hops = if cold { MAX_COLD_HOPS } else { MAX_PLACE_HOPS };
             if passed.len() < hops
                 && let Some(verdict) = self.pass_on(arrival, env.service, passed, reason)
             {
@@ -53,22 +55,28 @@
             if wait {
                 let purpose = PacketPurpose::Place { passed: Vec::new() };
                 let envelope = Envelope { purpose, ..env.clone() };
-                return Verdict::Wait { terms, envelope, tell: tell(env, passed) };
+                return Verdict::Wait { terms, envelope, tell: balancer_to_notify(env, passed) };
             }
         }
-        self.give(seg, env, copies, passed, now)
+        self.deliver_open(seg, env, copies, passed, now)
     }
 
-    /// Decides on an opening packet that has waited here and has its turn.
+    /// Decides on an opening packet whose turn in the queue has come.
     pub(super) fn place_waiting(&mut self, arrival: Arrival<'_>, copies: u32) -> Verdict {
         let Arrival { seg, env, now, .. } = arrival;
-        self.place_elsewhere(arrival, &[]).unwrap_or_else(|| self.give(seg, env, copies, &[], now))
+        self.redirect_or_refuse(arrival, &[])
+            .unwrap_or_else(|| self.deliver_open(seg, env, copies, &[], now))
     }
 
-    /// Decides on an opening packet that the target can't take, however little it has to do.
-    fn place_elsewhere(&mut self, arrival: Arrival<'_>, passed: &[ProcessId]) -> Option<Verdict> {
+    /// Decides on an opening packet that the target can't take, whatever its load: the route or
+    /// service does not match, or the target takes no new flows or fails.
+    fn redirect_or_refuse(
+        &mut self,
+        arrival: Arrival<'_>,
+        passed: &[ProcessId],
+    ) -> Option<Verdict> {
         let Arrival { seg, env, context, now } = arrival;
-        let Some(service) = service_now(seg, env, context.routes) else {
+        let Some(service) = current_service(seg, env, context.routes) else {
             return Some(self.refuse(RefuseReason::NoRoute, env, passed));
         };
         if service != self.service {
@@ -79,18 +87,18 @@
         if !self.takes_new(now) {
             let refused = self.refuse(RefuseReason::NoTarget, env, passed);
             let reason =
-                if self.closed.evacuated { PassReason::Evacuated } else { PassReason::Leaving };
+                if self.drain.evacuated { PassReason::Evacuated } else { PassReason::Leaving };
             let passed = self.pass_on(arrival, service, passed, reason);
             return Some(passed.unwrap_or(refused));
         }
-        if self.target_failing(now) && passed.len() < PLACE_HOPS {
+        if self.target_failing(now) && passed.len() < MAX_PLACE_HOPS {
             return self.pass_on(arrival, service, passed, PassReason::Failing);
         }
         None
     }
 
-    /// Has the target take an opening packet.
-    fn give(
+    /// Delivers an opening packet to the target.
+    fn deliver_open(
         &mut self,
         seg: &Segment,
         env: &Envelope,
@@ -102,7 +110,10 @@
         if self.flows.opening(seg.flow, copies, now) {
             self.cold.note(now);
         }
-        Verdict::Deliver { mark: self.begin_trial(env.clone()), tell: tell(env, passed) }
+        Verdict::Deliver {
+            mark: self.begin_trial(env.clone()),
+            tell: balancer_to_notify(env, passed),
+        }
     }
 
     pub(super) fn wait_terms(&self, arrival: Arrival<'_>, copies: u32) -> WaitTerms {
@@ -114,11 +125,12 @@
             .timeout(timeout.unwrap_or(patience))
     }
 
-    /// Returns the time that a request may wait for its answer to come within the aim of its route.
+    /// Returns how long a request may wait so that its answer still comes within the latency aim of
+    /// its route.
     fn time_limit(&self, arrival: Arrival<'_>) -> Duration {
         let route = arrival.context.routes.get(arrival.seg.flow.route());
         let aim = route.and_then(|route| route.latency_aim);
-        aim.map_or(self.flows.work() * ROUNDS, wait_limit)
+        aim.map_or(self.flows.work() * DEFAULT_WAIT_ROUNDS, wait_limit)
     }
 
     pub(super) fn work_of(&self, requests: u32) -> Duration {
@@ -135,8 +147,9 @@
         Verdict::Refuse { reason, origin: env.origin, placed }
     }
 
-    /// Passes an opening packet to an agent that has not had it yet, a near one first, and remembers
-    /// which: the balancer sends the packets that follow here until it hears of the owner.
+    /// Passes an opening packet to an agent that has not had it yet, preferring agents in the same
+    /// data centre, and records which one: the balancer sends the flow's next packets to this agent
+    /// until it is told who the owner is.
     pub(super) fn pass_on(
         &mut self,
         arrival: Arrival<'_>,
@@ -147,7 +160,8 @@
         let Arrival { seg, env, context, now } = arrival;
         let fresh =
             |a: &&AgentEntry| a.process != self.me && !passed.contains(&a.process) && a.slots > 0;
-        // What has turned cold is mostly a whole data centre.
+        // Mostly all targets of a data centre turn cold together, so agents in the same data centre
+        // are not preferred.
         let anywhere = reason == PassReason::Cold;
         let rank = |a: &&AgentEntry| (a.near || anywhere, seg.flow.score(a.process.0));
         let reached = |a: &&AgentEntry| a.near || reason != PassReason::Full;
@@ -169,13 +183,15 @@
     }
 }
 
-/// Returns the balancer that has to hear where a flow is: it knows only the agent that it chose itself.
-fn tell(env: &Envelope, passed: &[ProcessId]) -> Option<SocketAddrV4> {
+/// Returns the balancer that must be told where a flow is. A balancer knows only the agent that it
+/// chose itself.
+fn balancer_to_notify(env: &Envelope, passed: &[ProcessId]) -> Option<SocketAddrV4> {
     (!passed.is_empty()).then_some(env.origin)
 }
 
-/// Returns the service of a new flow: what the balancer said, unless newer settings say otherwise.
-fn service_now(seg: &Segment, env: &Envelope, routes: &RouteTable) -> Option<ServiceTag> {
+/// Returns the service of a new flow: the one that the balancer chose, unless this agent has newer
+/// settings that say otherwise.
+fn current_service(seg: &Segment, env: &Envelope, routes: &RouteTable) -> Option<ServiceTag> {
     if routes.revision <= env.revision {
         return Some(env.service);
     }
--- a/crates/dillmill-core/src/flow_gate/run_change.rs
+++ b/crates/dillmill-core/src/flow_gate/run_change.rs
@@ -1,11 +1,13 @@
+//! Effect of a restart of the target on its flows.
+
 use crate::FlowTuple;
 use crate::target_flows::EndedFlow;
 
-/// What becomes of the flows of a target when another run of it has begun.
+/// The flows of a target that are affected when another run of the target has begun.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RunChange {
-    /// They were open, and have ended with the run before: their callers are to hear of it.
+    /// Open flows that have ended with the previous run. Their callers must be told.
     pub ended: Vec<EndedFlow>,
-    /// They may have ended: the target is to be asked.
+    /// Flows that may have ended. The target must be asked whether it holds them.
     pub in_doubt: Vec<FlowTuple>,
 }
--- a/crates/dillmill-core/src/flow_gate/target.rs
+++ b/crates/dillmill-core/src/flow_gate/target.rs
@@ -1,9 +1,10 @@
-//! What an agent knows of its target: whether there is one, what it can take, and which run of it speaks.
+//! State of an agent's target: whether there is one, what it can take, and which run of it is
+//! current.
 
 use std::time::Duration;
 
 use super::{
-    ALL_FLOWS_SEEN, ENDED_AFTER, FlowGate, HEARTBEATS_MISSED, RunChange, TargetPresence,
+    FULL_COVERAGE_AFTER, FlowGate, GONE_GRACE_PERIOD, MISSED_HEARTBEATS, RunChange, TargetPresence,
     TargetStanding,
 };
 use crate::target_flows::TargetLoad;
@@ -11,10 +12,11 @@
 use crate::{ColdLoad, FlowCoverage, ServiceTag, TargetPace, Timestamp};
 
 impl FlowGate {
-    /// Returns whether no target has spoken in a time in which a living one would have.
+    /// Returns whether there is no target: it has announced its end, the connection to it was
+    /// refused, or it has sent no heartbeat in a time in which a live one would have.
     #[must_use]
     pub fn has_no_target(&self, now: Timestamp) -> bool {
-        let limit = self.heartbeat_every.mul_f64(HEARTBEATS_MISSED);
+        let limit = self.heartbeat_every.mul_f64(MISSED_HEARTBEATS);
         match self.standing {
             TargetStanding::Gone => true,
             TargetStanding::Unknown => {
@@ -24,61 +26,63 @@
         }
     }
 
-    /// Returns whether no flow can be here, as there is no target that could hold one.
+    /// Returns whether the agent can hold no flow because there is no target that could.
     pub fn is_empty(&mut self, now: Timestamp) -> bool {
         if !self.has_no_target(now) {
             self.no_target_since = None;
             return false;
         }
         let since = *self.no_target_since.get_or_insert(now);
-        self.standing == TargetStanding::Unknown || now.since(since) >= ENDED_AFTER
+        self.standing == TargetStanding::Unknown || now.since(since) >= GONE_GRACE_PERIOD
     }
 
     /// Returns whether the agent knows each flow that its target holds.
     #[must_use]
     pub fn coverage(&self, now: Timestamp) -> FlowCoverage {
-        let complete =
-            self.sees_all || now.since(self.started) >= ALL_FLOWS_SEEN || self.has_no_target(now);
+        let complete = self.full_coverage
+            || now.since(self.started) >= FULL_COVERAGE_AFTER
+            || self.has_no_target(now);
         if complete { FlowCoverage::Complete } else { FlowCoverage::Partial }
     }
 
-    /// Takes in what an attempt to connect to the target has shown; its own word counts for more.
+    /// Sets the result of an attempt to connect to the target. Heartbeats of the target override
+    /// it.
     pub fn set_presence(&mut self, presence: TargetPresence) {
         if self.standing == TargetStanding::Unknown {
             self.presence = presence;
-            self.sees_all = presence == TargetPresence::Absent;
+            self.full_coverage = presence == TargetPresence::Absent;
         }
     }
 
-    /// Returns what an attempt to connect to the target has shown.
+    /// Returns the result of the attempt to connect to the target.
     #[must_use]
     pub fn presence(&self) -> TargetPresence {
         self.presence
     }
 
-    /// The target has spoken before the agent's start, whatever an attempt to connect has shown: it may hold
-    /// flows that the agent has not seen.
+    /// Notes that the target has sent heartbeats before the agent started, whatever an attempt to
+    /// connect has shown. It may hold flows that the agent has not seen.
     pub fn note_older_target(&mut self) {
-        self.sees_all = false;
+        self.full_coverage = false;
     }
 
-    /// Sets what is known of the target.
+    /// Sets the state and the number of slots that the target has reported.
     pub fn set_standing(&mut self, standing: TargetStanding, slots: u16) {
         self.standing = standing;
         self.slots = slots.max(1);
     }
 
-    /// Sets how much longer the target is slow from its start.
+    /// Sets how much longer the target is slow because it has just started.
     pub fn set_cold(&mut self, left: Duration, now: Timestamp) {
         self.cold.set_left(left, now);
     }
 
-    /// Sets how many requests a second a target of the service carries that has only just started.
+    /// Sets how many requests a second a target of the service can take just after its start.
     pub fn set_cold_rate(&mut self, rate: Option<u32>) {
         self.cold.set_rate(rate);
     }
 
-    /// Returns what is known of the target.
+    /// Returns the state that the target has reported.
     #[must_use]
     pub fn standing(&self) -> TargetStanding {
         self.standing
@@ -90,26 +94,27 @@
         self.service
     }
 
-    /// The agent itself ends: new flows go elsewhere from now on.
+    /// Stops the agent: new flows go elsewhere from now on.
     pub fn stop(&mut self) {
-        self.closed.stopping = true;
+        self.drain.stopping = true;
     }
 
-    /// Sets whether the agent's data centre is to get no new flows.
+    /// Sets whether the agent's data centre is evacuated, so that it gets no new flows.
     pub fn set_evacuated(&mut self, evacuated: bool, now: Timestamp) {
-        let taken_back = self.closed.evacuated && !evacuated;
-        self.closed.evacuated = evacuated;
+        let taken_back = self.drain.evacuated && !evacuated;
+        self.drain.evacuated = evacuated;
         if taken_back {
-            // A target that had nothing to do may have turned cold, and its last heartbeat may be older than that.
-            self.cold.set_left(self.heartbeat_every.mul_f64(HEARTBEATS_MISSED), now);
+            // An idle target may have turned cold since its last heartbeat, so it is treated as
+            // cold until new heartbeats must have come.
+            self.cold.set_left(self.heartbeat_every.mul_f64(MISSED_HEARTBEATS), now);
         }
     }
 
-    /// Another run of the target has spoken, of which nothing is known yet.
+    /// Handles the first heartbeat of another run of the target.
     ///
-    /// Flows that were taken well before its `predecessor` last spoke have ended with that run. The new run may
-    /// have taken the others before its first heartbeat; it gives back the packets of those that it does not
-    /// hold, so each of them is to be asked about.
+    /// Flows that were taken well before the `predecessor` last sent a heartbeat have ended with
+    /// that run. The new run may have taken the others before its first heartbeat. It returns
+    /// packets of flows that it does not hold, so the target must be asked about each of them.
     pub fn new_target(
         &mut self,
         service: ServiceTag,
@@ -117,11 +122,11 @@
         now: Timestamp,
     ) -> RunChange {
         self.service = service;
-        self.sees_all = true;
+        self.full_coverage = true;
         self.cold.restart();
         self.no_target_since = None;
         let ended_before = match predecessor {
-            // The heartbeat may have waited while this process stood still.
+            // The heartbeat may have been queued while this process was paused.
             Predecessor::Ended { lived } => Some(lived - self.heartbeat_every),
             Predecessor::None | Predecessor::Unsure => None,
         };
@@ -133,35 +138,35 @@
         RunChange { ended, in_doubt: self.flows.open().map(|(flow, _)| flow).collect() }
     }
 
-    /// Notes a sign of life of the target.
+    /// Notes that the target is alive.
     pub fn heard(&mut self) {
         self.flows.heard();
     }
 
-    /// Returns whether the target answers nothing any more.
+    /// Returns whether the target no longer answers anything.
     #[must_use]
     pub fn target_silent(&self, now: Timestamp) -> bool {
         self.flows.silent(now)
     }
 
-    /// Returns whether the target breaks off what it is given.
+    /// Returns whether the target aborts the requests that it is given.
     #[must_use]
     pub fn target_failing(&self, now: Timestamp) -> bool {
         self.flows.failing(now)
     }
 
-    /// Notes requests that the target has left without an answer for far too long.
+    /// Notes requests that the target has left unanswered far longer than usual.
     pub fn note_overdue(&mut self, now: Timestamp) {
         self.flows.note_overdue(self.slots, now);
     }
 
-    /// Returns what the target has to do.
+    /// Returns the load of the target.
     #[must_use]
     pub fn load(&self, now: Timestamp) -> TargetLoad {
         self.flows.load(now)
     }
 
-    /// Returns how fast the target works.
+    /// Returns the target's time for a request and, while it is cold, its limit and present load.
     pub fn pace(&mut self, now: Timestamp) -> TargetPace {
         let waiting = u32::try_from(self.opens.len()).unwrap_or(u32::MAX);
         let got = self.cold.got(now).saturating_add(waiting);
@@ -169,7 +174,7 @@
         TargetPace { work: self.flows.work(), cold }
     }
 
-    /// Returns the slots of the target.
+    /// Returns the number of slots of the target.
     #[must_use]
     pub fn slots(&self) -> u16 {
         self.slots
@@ -178,13 +183,14 @@
     /// Returns whether the target is given new flows.
     #[must_use]
     pub fn takes_new(&self, now: Timestamp) -> bool {
-        !self.closed.evacuated && self.can_serve(now)
+        !self.drain.evacuated && self.can_serve(now)
     }
 
-    /// Returns whether the target could take new flows, wherever it is.
+    /// Returns whether the target could take new flows, whether or not its data centre is
+    /// evacuated.
     #[must_use]
     pub fn can_serve(&self, now: Timestamp) -> bool {
-        !self.closed.stopping
+        !self.drain.stopping
             && !self.target_silent(now)
             && match self.standing {
                 TargetStanding::Ready => true,
--- a/crates/dillmill-core/src/flow_gate/verdict.rs
+++ b/crates/dillmill-core/src/flow_gate/verdict.rs
@@ -1,4 +1,4 @@
-//! What an agent may do with a packet, and why.
+//! Results of the gate's decisions on packets, with their reasons.
 
 use std::net::SocketAddrV4;
 
@@ -6,119 +6,119 @@
 use crate::envelope::Envelope;
 use crate::open_queue::WaitTerms;
 
-/// What the agent knows of its target.
+/// State of the target as its heartbeats report it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetStanding {
-    /// It has not spoken yet.
+    /// The target has sent no heartbeat yet.
     Unknown,
-    /// It takes new flows.
+    /// The target takes new flows.
     Ready,
-    /// It finishes what it has.
+    /// The target completes its open flows and takes no new ones.
     Leaving,
-    /// It has said that it ends.
+    /// The target has announced its end.
     Gone,
 }
 
-/// Whether a target has a process, as an attempt to connect to it has shown when the agent started.
+/// Whether a target process exists, by the attempt to connect to it when the agent started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetPresence {
-    /// No answer, or none yet.
+    /// The attempt got no answer, or none yet.
     Unknown,
-    /// The connection was refused: there is none, and whichever comes starts after the agent.
+    /// The connection was refused: there is no target, and any later one starts after the agent.
     Absent,
     /// The connection was accepted.
     Present,
 }
 
-/// Why a packet went to another agent.
+/// Why a packet is passed to another agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PassReason {
     /// The packet is for another service.
     OtherService,
     /// The target is leaving or gone.
     Leaving,
-    /// The data centre is to get no new flows.
+    /// The data centre is evacuated: it gets no new flows.
     Evacuated,
-    /// The target has broken off several requests in a row.
+    /// The target has aborted several requests in a row.
     Failing,
-    /// The target has only just started and carries no more now.
+    /// The target has just started and can take no more requests now.
     Cold,
-    /// The target has no free slot; another one near may have.
+    /// The target has no free slot; another target in the same data centre may have one.
     Full,
-    /// The target has more to do than it can in time; any other may have less.
+    /// The target has more work than it can do in time; any other target may have less.
     Crowded,
-    /// The target gave the packet back.
+    /// The target returned the packet.
     Returned,
-    /// A directory entry names the owner.
+    /// A directory record names the owner.
     Directed,
-    /// The owner is looked for.
+    /// The owner is being searched for.
     Search,
 }
 
 /// Why a flow is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefuseReason {
-    /// No agent can take it.
+    /// No agent can take the flow.
     NoTarget,
     /// The settings have no such route.
     NoRoute,
-    /// The targets asked have more to do than they can in time.
+    /// The targets asked have more work than they can do in time.
     Crowded,
 }
 
-/// What is to be done with a packet.
+/// What the agent has to do with a packet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// Hand it to the target under this mark.
+    /// Deliver the packet to the target with this mark.
     Deliver {
-        /// Zero, or the number of a trial that the target may give back.
+        /// Zero, or the number of a trial, by which a packet that the target returns is recognised.
         mark: u32,
-        /// The balancer to tell that the flow is here.
+        /// Balancer to be told that this agent has the flow.
         tell: Option<SocketAddrV4>,
     },
-    /// Hand a copy to the target without a mark, and do the rest besides.
+    /// Deliver a copy to the target without a mark, and also carry out another verdict.
     Try {
-        /// What to do besides.
+        /// The other verdict.
         onward: Box<Verdict>,
     },
-    /// Pass it to another agent.
+    /// Pass the packet to another agent.
     Pass {
-        /// The agent's data address.
+        /// Data address of that agent.
         to: SocketAddrV4,
-        /// What to say with it.
+        /// Envelope to send with the packet.
         envelope: Envelope,
-        /// Why.
+        /// Reason.
         reason: PassReason,
     },
-    /// Let the opening packet, or the request of an open flow, wait until the target can take it.
+    /// Queue the opening packet, or the request of an open flow, until the target can take it.
     Wait {
-        /// Until when, and for what.
+        /// Time limits of the wait, and whether a new or an open flow waits.
         terms: WaitTerms,
-        /// What came with it, as if the balancer had chosen this agent.
+        /// Envelope of the packet, as if the balancer had chosen this agent.
         envelope: Envelope,
-        /// The balancer to tell that the packet waits here, so that copies of it come here too.
+        /// Balancer to be told that the packet waits here, so that it sends copies here too.
         tell: Option<SocketAddrV4>,
     },
     /// Tell the balancer that no agent holds the flow.
     Missing {
-        /// The balancer's control address.
+        /// Control address of the balancer.
         origin: SocketAddrV4,
     },
-    /// Tell the balancer that nobody can take the flow. It resets the opening packet, unless it has
-    /// given the flow to another agent meanwhile.
+    /// Tell the balancer that no target can take the flow. The balancer resets the flow, unless it
+    /// has given it to another agent meanwhile.
     Refuse {
-        /// Why.
+        /// Reason.
         reason: RefuseReason,
-        /// The balancer's control address.
+        /// Control address of the balancer.
         origin: SocketAddrV4,
-        /// The agent to which the balancer gave the flow.
+        /// Agent to which the balancer gave the flow.
         placed: ProcessId,
     },
-    /// Tell the caller that its flow is over: the run of the target that held it has ended.
+    /// Reset the caller's flow: the run of the target that held it has ended.
     Ended {
-        /// Number of the byte that the caller expects next.
+        /// Sequence number of the byte that the caller expects next.
         caller_expects: u32,
     },
-    /// Do nothing; the caller sends again.
+    /// Drop the packet; the caller sends it again.
     Drop,
 }
--- a/crates/dillmill-core/src/flow_gate/waiting.rs
+++ b/crates/dillmill-core/src/flow_gate/waiting.rs
@@ -1,4 +1,4 @@
-//! Opening packets, and requests of open flows, that wait at the gate for their turn.
+//! Queue of opening packets, and of requests on open flows, that wait for the target.
 
 use std::time::Duration;
 
@@ -8,29 +8,30 @@
 use crate::segment::{Segment, SegmentKind};
 use crate::{FlowTuple, Timestamp};
 
-/// Part of the slots for which requests may be on the way while all are busy, at least one: a caller's request
-/// comes a round trip after its opening packet, and the slot would stand idle meanwhile.
-const ON_THE_WAY: u32 = 4;
+/// While all slots are busy, requests for this fraction of the slots (one over this number, at
+/// least one slot) may be given to the target in addition. A caller's request comes a round trip
+/// after its opening packet, and the slot would stand idle meanwhile.
+const SLOT_OVERCOMMIT_DIVISOR: u32 = 4;
 
-/// A caller that is there opens its flow within this time after the target has accepted it: a few round trips
-/// between data centres.
-const OPENS_WITHIN: Duration = Duration::from_millis(100);
+/// Time within which a caller that is still there opens its flow after the target has accepted it:
+/// a few round trips between data centres.
+const OPEN_CONFIRM_WINDOW: Duration = Duration::from_millis(100);
 
-/// An opening packet that has had its turn.
+/// An opening packet that has left the queue.
 #[derive(Debug)]
-pub(super) struct TakenOpen {
+pub(super) struct DispatchedOpen {
     flow: FlowTuple,
     waited: Duration,
     at: Timestamp,
 }
 
 impl FlowGate {
-    /// Lets an opening packet wait; returns it if too many wait already.
+    /// Queues an opening packet; returns it if the queue is full.
     pub fn wait(&mut self, open: WaitingOpen) -> Option<WaitingOpen> {
         self.opens.push(open)
     }
 
-    /// Returns the number of opening packets that wait.
+    /// Returns the number of packets in the queue.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.opens.len()
@@ -42,26 +43,29 @@
         self.opens.patience(flow, terms, now)
     }
 
-    /// Forgets the opening packet of `flow`, which has gone another way.
+    /// Removes the opening packet of `flow` from the queue, as the packet has been handled
+    /// otherwise.
     pub fn no_longer_waits(&mut self, flow: &FlowTuple) {
         self.opens.remove(flow);
     }
 
-    /// Returns the opening packets that nobody can serve any more, with what to tell their callers.
+    /// Removes the opening packets that have waited too long to be served; returns them with the
+    /// verdicts for their callers.
     pub fn take_lost(&mut self, now: Timestamp) -> Vec<(WaitingOpen, Verdict)> {
-        // Who waits on an open flow sends its request once more.
+        // A caller that waits on an open flow sends its request again by itself.
         let lost = self.opens.take_lost(now).into_iter().filter(|open| !open.terms.open_flow);
         lost.map(|open| self.refused(open)).collect()
     }
 
-    /// Refuses an opening packet that has waited: it has not reached the target.
+    /// Returns the refusal of an opening packet that has waited and has not reached the target.
     #[must_use]
     pub fn refused(&self, open: WaitingOpen) -> (WaitingOpen, Verdict) {
         let verdict = self.refuse(RefuseReason::Crowded, &open.envelope, &[]);
         (open, verdict)
     }
 
-    /// Returns the opening packet that has its turn, or the next one if the target takes nothing new.
+    /// Removes and returns the packet whose turn it is. If the target takes no new flows, an
+    /// opening packet is returned at once, so that it goes elsewhere.
     pub fn next_waiting(&mut self, now: Timestamp) -> Option<WaitingOpen> {
         self.note_outcomes(now);
         if self.opens.is_empty() {
@@ -77,27 +81,29 @@
         }
         let requests = self.load(now).requests;
         let slots = u32::from(self.slots);
-        let room = requests < slots + (slots / ON_THE_WAY).max(1);
+        let room = requests < slots + (slots / SLOT_OVERCOMMIT_DIVISOR).max(1);
         let open = self.opens.take(self.work_of(requests + 1), room, now)?;
         if open.terms.open_flow {
             return Some(open);
         }
         let waited = now.since(open.terms.since);
-        self.taken.push_back(TakenOpen { flow: open.flow, waited, at: now });
+        self.dispatched.push_back(DispatchedOpen { flow: open.flow, waited, at: now });
         Some(open)
     }
 
-    /// Learns from the callers of opening packets that have had their turn how long callers wait.
+    /// Learns from the callers of packets that have left the queue how long callers wait.
     fn note_outcomes(&mut self, now: Timestamp) {
-        while let Some(taken) = self.taken.front().filter(|t| now.since(t.at) >= OPENS_WITHIN) {
-            if let Some(opened) = self.flows.was_opened(&taken.flow) {
-                self.opens.note_outcome(taken.flow.route(), taken.waited, opened, now);
+        while let Some(dispatched) =
+            self.dispatched.front().filter(|t| now.since(t.at) >= OPEN_CONFIRM_WINDOW)
+        {
+            if let Some(opened) = self.flows.was_opened(&dispatched.flow) {
+                self.opens.note_outcome(dispatched.flow.route(), dispatched.waited, opened, now);
             }
-            self.taken.pop_front();
+            self.dispatched.pop_front();
         }
     }
 
-    /// Decides on a packet that has its turn, by what is known now.
+    /// Decides on a packet that has left the queue, by the present state.
     pub fn decide_waiting(
         &mut self,
         seg: &Segment,
--- a/crates/dillmill-core/src/flow_id.rs
+++ b/crates/dillmill-core/src/flow_id.rs
@@ -1,8 +1,8 @@
-//! Connection ids that name the agent of a flow.
+//! Encrypted connection ids that name the agent of a flow.
 //!
-//! A QUIC connection id issued by an agent carries, sealed with AES-128, the service and the
-//! agent's address. A balancer that holds the key can route any later packet of the flow without
-//! state and whatever its settings revision or list of targets (RFC 9000 section 5.1 leaves the
+//! A QUIC connection id issued by an agent contains the service and the agent's address, encrypted
+//! with AES-128. A balancer that holds the key can route any later packet of the flow without
+//! state, whatever its settings revision or list of targets (RFC 9000 section 5.1 leaves the
 //! content of a connection id to its issuer).
 //!
 //! Layout of the 20 bytes: key number (1), random (3), one AES block (16) of service number (2),
@@ -19,11 +19,11 @@
 
 /// Length of every connection id that an agent issues, in bytes.
 pub const FLOW_ID_LEN: usize = 20;
-/// Random bytes that [`FlowKeys::seal`] takes.
+/// Number of random bytes that [`FlowKeys::seal`] takes.
 pub const FLOW_ID_RANDOM_LEN: usize = 7;
 const BLOCK_START: usize = 4;
 
-/// What a connection id says: the service and the agent that owns the flow.
+/// Content of a connection id: the service and the agent that owns the flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct FlowId {
     /// Service of the flow.
@@ -38,31 +38,31 @@
     }
 }
 
-/// Why a connection id was not accepted as one of ours.
+/// Reasons to reject a connection id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FlowIdError {
-    /// The id has another length than ours.
-    #[error("connection id of {0} bytes, not {FLOW_ID_LEN}")]
+    /// The id is not [`FLOW_ID_LEN`] bytes long.
+    #[error("connection id has {0} bytes instead of {FLOW_ID_LEN}")]
     Length(usize),
-    /// No key of this number is in force.
-    #[error("connection id under unknown key {0}")]
+    /// No key with this number is in force.
+    #[error("connection id is encrypted with unknown key {0}")]
     UnknownKey(u8),
-    /// The check bytes are wrong: forged, damaged, or sealed with another secret.
-    #[error("connection id fails its check")]
+    /// The check bytes are not zero: the id was forged, damaged, or encrypted with another secret.
+    #[error("connection id has wrong check bytes")]
     Forged,
 }
 
-/// One secret that seals connection ids, as the settings tree holds it.
+/// A key that encrypts connection ids, as the settings tree stores it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FlowKey {
-    /// Number of the key inside connection ids.
+    /// Number of the key, the first byte of connection ids.
     pub id: u8,
-    /// 32 hexadecimal digits.
+    /// The AES-128 key as 32 hexadecimal digits.
     pub secret: Secret,
 }
 
-/// The keys in force: the first seals, all open.
+/// The keys in force: the first encrypts new connection ids, all decrypt.
 ///
 /// ```
 /// use dillmill_core::{FlowId, FlowKey, FlowKeys, Secret, ServiceNumber};
@@ -84,21 +84,22 @@
     }
 }
 
-/// Why a list of keys was refused.
+/// Reasons to reject a list of keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FlowKeyError {
     /// The list is empty.
-    #[error("no flow key")]
+    #[error("the list of flow keys is empty")]
     Empty,
     /// The secret of the numbered key is not 32 hexadecimal digits.
     #[error("the secret of flow key {0} is not 32 hexadecimal digits")]
     Secret(u8),
-    /// Two keys have this number.
+    /// Two keys have the same number.
     #[error("two flow keys have the number {0}")]
-    Twice(u8),
+    Duplicate(u8),
 }
 
-/// Reads hexadecimal digits into `N` bytes.
+/// Parses hexadecimal digits into `N` bytes; returns `None` if the text has another length or other
+/// characters.
 #[must_use]
 pub fn parse_hex<const N: usize>(text: &str) -> Option<[u8; N]> {
     let mut bytes = [0; N];
@@ -116,14 +117,14 @@
     ///
     /// # Errors
     ///
-    /// Refuses an empty list, a number used twice and a secret of the wrong form.
+    /// Rejects an empty list, a number used twice and a secret that is not 32 hexadecimal digits.
     pub fn new(keys: &[FlowKey]) -> Result<Self, FlowKeyError> {
         let mut set: Vec<(u8, Aes128)> = Vec::with_capacity(keys.len());
         for key in keys {
             let secret: [u8; 16] =
                 parse_hex(key.secret.reveal()).ok_or(FlowKeyError::Secret(key.id))?;
             if set.iter().any(|(id, _)| *id == key.id) {
-                return Err(FlowKeyError::Twice(key.id));
+                return Err(FlowKeyError::Duplicate(key.id));
             }
             set.push((key.id, Aes128::new(&secret.into())));
         }
@@ -133,7 +134,7 @@
         Ok(Self { keys: set })
     }
 
-    /// Seals `flow` with the first key; `random` makes ids of one flow unlike.
+    /// Encrypts `flow` with the first key. The bytes of `random` make the ids of one flow differ.
     #[must_use]
     pub fn seal(&self, flow: FlowId, random: [u8; FLOW_ID_RANDOM_LEN]) -> [u8; FLOW_ID_LEN] {
         let (key_id, cipher) = &self.keys[0];
@@ -151,12 +152,12 @@
         id
     }
 
-    /// Opens a connection id.
+    /// Decrypts a connection id.
     ///
     /// # Errors
     ///
-    /// Says why an id is not one of ours; a random id passes the check once in 2^32 times, and the
-    /// agent it then names refuses it.
+    /// Returns why the id is rejected. A random id passes the check once in 2^32 times; the agent
+    /// that it then names refuses it.
     pub fn open(&self, id: &[u8]) -> Result<FlowId, FlowIdError> {
         if id.len() != FLOW_ID_LEN {
             return Err(FlowIdError::Length(id.len()));
--- a/crates/dillmill-core/src/flow_placement.rs
+++ b/crates/dillmill-core/src/flow_placement.rs
@@ -1,8 +1,8 @@
-//! Which agent a balancer gives a new flow to.
+//! Chooses the agent to which a balancer gives a new flow.
 //!
-//! Agents report their load to the balancers that send them new flows, so each new flow that has
-//! brought no report for a while tells that an agent does not answer: sooner than any probe, and at
-//! no cost of its own.
+//! Agents report their load to the balancers that send them new flows. So if a new flow brings no
+//! report in time, the agent does not answer. This shows sooner than with any probe, and costs no
+//! extra traffic.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -14,35 +14,38 @@
 use crate::target_flows::FIRST_WORK;
 use crate::{FlowTuple, ProcessId, ServiceTag, Timestamp};
 
-/// An agent that has not answered for this long gets new flows only when the others are busy: a report
-/// is due within a tick of the agent (100 ms) and a round trip; the rest is for thin VMs.
-const ANSWER_LIMIT: Duration = Duration::from_millis(230);
-/// Time between two reports of an agent to one balancer.
+/// Time without a report after which an agent is silent and gets new flows only when the others are
+/// busy. A report is due within a tick of the agent (100 ms) and a round trip; the rest allows for
+/// VMs with little CPU time.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(230);
+/// Interval of an agent's reports to one balancer.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two questions to an agent that does not answer.
-const ASK_EVERY: Duration = Duration::from_millis(300);
-/// Load in use that a flow is sent to another data centre to avoid, in thousandths of the slots:
-/// one and a half of five slots. Bytes between data centres cost, a wait costs more.
+/// Interval of the probes to an agent that does not answer.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// Load in use, in thousandths of the slots, that a flow must avoid to be sent to another data
+/// centre: one and a half of five slots. Traffic between data centres costs, but a wait costs more.
 const FAR_PENALTY: u32 = 350;
-/// Bytes of callers in a flow that weigh as much as a thousandth of the slots when they go to another data
-/// centre: an upload of 40 kB stays unless all near targets are a full round behind.
-const FAR_BYTES: u64 = 40;
-/// Most that the bytes of a flow add, in thousandths of the slots.
-const FAR_BYTES_MAX: u64 = 3000;
-/// Load added to an agent that does not answer, in thousandths of its slots. Not without bound: after a
-/// restart of everything most agents are late, and all flows would meet at the one that is not.
+/// Bytes that callers send in a flow to another data centre that weigh as much as a thousandth of
+/// the slots. An upload of 40 kB stays in its data centre unless all targets there are a full round
+/// of requests behind.
+const FAR_BYTES_PER_UNIT: u64 = 40;
+/// Maximum penalty for the bytes of a flow, in thousandths of the slots.
+const FAR_BYTES_PENALTY_MAX: u64 = 3000;
+/// Load added to an agent that does not answer, in thousandths of its slots. It is limited because
+/// most agents report late after a restart of all processes, and all flows would go to the one that
+/// does not.
 const SILENT_PENALTY: u32 = 1500;
-/// Load of an open flow that is at rest, in thousandths of a slot: one request of some 50 ms a
-/// second.
-const RESTING_FLOW: u32 = 50;
+/// Load of an idle open flow, in thousandths of a slot: one request of some 50 ms a second.
+const IDLE_FLOW_LOAD: u32 = 50;
 
-/// A target is slow if a request takes this many times the usual time there: the mean of a few answers of a sound one
-/// stays well below.
-const SLOW: u32 = 2;
-/// Part of the usual time by which one report moves it: half of the reports are above it, half below.
-const USUAL_STEP: u32 = 50;
+/// A target is slow if it takes this many times the typical time of its service for a request. The
+/// mean of a few answers of a healthy target stays well below.
+const SLOW_FACTOR: u32 = 2;
+/// Divisor of the typical time that gives the step by which each report moves it up or down. At
+/// equilibrium, half of the reports are above the typical time and half below.
+const TYPICAL_STEP_DIVISOR: u32 = 50;
 
-/// Returns `span` in thousandths of `unit`.
+/// Converts `span` to thousandths of `unit`.
 fn thousandths(span: Duration, unit: Duration) -> u32 {
     let n = span.as_micros() * 1000 / unit.as_micros().max(1);
     u32::try_from(n).unwrap_or(u32::MAX / 4).min(u32::MAX / 4)
@@ -51,25 +54,25 @@
 #[derive(Debug, Clone, Copy)]
 struct Load {
     report: LoadReport,
-    /// New flows since the report.
+    /// New flows sent since the report.
     sent: u32,
-    /// When the first flow or question without an answer was sent.
+    /// When the first flow or probe without an answer was sent.
     unanswered: Option<Timestamp>,
-    asked: Timestamp,
+    last_probe: Timestamp,
     control: SocketAddrV4,
     service: ServiceTag,
-    /// Its data centre was evacuated when the table of agents was last taken in.
+    /// Whether the data centre was evacuated in the last table of agents.
     evacuated: bool,
 }
 
 impl Load {
-    /// Returns the load of an agent that nothing is known of.
+    /// Returns the load assumed of an agent that has not reported.
     fn idle(agent: &AgentEntry) -> Self {
         Self {
             report: LoadReport::idle(agent.process, agent.slots),
             sent: 0,
             unanswered: None,
-            asked: Timestamp::default(),
+            last_probe: Timestamp::default(),
             control: agent.control,
             service: agent.service,
             evacuated: agent.evacuated,
@@ -77,27 +80,28 @@
     }
 }
 
-/// What a balancer knows of the load of agents.
+/// Load of the agents as a balancer knows it.
 #[derive(Debug, Default)]
 pub struct FlowPlacement {
     loads: HashMap<ProcessId, Load>,
     volumes: HashMap<ServiceTag, FlowVolume>,
-    /// Time that a request takes at half of the targets of each service, or less.
-    usual: HashMap<ServiceTag, Duration>,
+    /// Time within which half of the targets of each service complete a request: a running estimate
+    /// of the median.
+    typical_work: HashMap<ServiceTag, Duration>,
 }
 
 impl FlowPlacement {
-    /// Takes in a report.
+    /// Stores an agent's load report.
     pub fn report(&mut self, report: LoadReport) {
         if let Some(load) = self.loads.get_mut(&report.process) {
             load.report = report;
             load.sent = 0;
             load.unanswered = None;
-            let usual = self.usual.entry(load.service).or_insert(FIRST_WORK);
+            let typical = self.typical_work.entry(load.service).or_insert(FIRST_WORK);
             match report.pace.work {
                 Duration::ZERO => {}
-                work if work > *usual => *usual += *usual / USUAL_STEP,
-                _ => *usual -= *usual / USUAL_STEP,
+                work if work > *typical => *typical += *typical / TYPICAL_STEP_DIVISOR,
+                _ => *typical -= *typical / TYPICAL_STEP_DIVISOR,
             }
         }
     }
@@ -107,20 +111,22 @@
         self.volumes.entry(service).or_default().count_bytes(bytes);
     }
 
-    /// Returns what a flow of `service` to another data centre must save there, in thousandths of the slots.
+    /// Returns how much load, in thousandths of the slots, a flow of `service` must avoid to be
+    /// sent to another data centre.
     fn far_penalty(&self, service: ServiceTag) -> u32 {
         let bytes = self.volumes.get(&service).map_or(0, FlowVolume::per_flow);
-        let weight = (bytes / FAR_BYTES).min(FAR_BYTES_MAX);
+        let weight = (bytes / FAR_BYTES_PER_UNIT).min(FAR_BYTES_PENALTY_MAX);
         FAR_PENALTY + u32::try_from(weight).unwrap_or(0)
     }
 
-    /// Takes in a new table of agents.
+    /// Applies a new table of agents.
     pub fn retain(&mut self, agents: &AgentTable) {
         self.loads.retain(|process, _| agents.get(*process).is_some());
         for agent in agents.iter() {
             let idle = Load::idle(agent);
             let load = self.loads.entry(agent.process).or_insert(idle);
-            // What it last reported is that it takes nothing, and it reports only to those that send it flows.
+            // The agent's last report says that it takes no flows, and it reports only to balancers
+            // that send it flows.
             if load.evacuated && !agent.evacuated {
                 *load = idle;
             }
@@ -128,54 +134,56 @@
         }
     }
 
-    /// Counts all silence from `now` on: the balancer itself was paused.
+    /// Restarts the time-outs of unanswered flows and probes at `now`, after the balancer itself
+    /// was paused.
     pub fn reset_silence(&mut self, now: Timestamp) {
         for load in self.loads.values_mut() {
             load.unanswered = load.unanswered.map(|_| now);
         }
     }
 
-    /// Returns whether an agent has left new flows or questions without an answer.
+    /// Returns whether an agent has left new flows or probes unanswered for too long.
     #[must_use]
     pub fn silent(&self, process: ProcessId, now: Timestamp) -> bool {
         self.loads
             .get(&process)
             .and_then(|load| load.unanswered)
-            .is_some_and(|since| now.since(since) >= ANSWER_LIMIT)
+            .is_some_and(|since| now.since(since) >= REPORT_TIMEOUT)
     }
 
-    /// Returns whether any agent answers, as far as is known.
+    /// Returns whether any agent answers, as far as the balancer knows.
     #[must_use]
     pub fn reaches_any(&self, now: Timestamp) -> bool {
         self.loads.keys().any(|process| !self.silent(*process, now))
     }
 
-    /// Returns the control addresses of silent agents that are due to be asked.
+    /// Returns the control addresses of silent agents that are due for a probe, and counts them as
+    /// probed.
     pub fn take_probes_due(&mut self, now: Timestamp) -> Vec<SocketAddrV4> {
         let mut due = Vec::new();
         for load in self.loads.values_mut() {
-            let silent = load.unanswered.is_some_and(|since| now.since(since) >= ANSWER_LIMIT);
-            if silent && now.since(load.asked) >= ASK_EVERY {
-                load.asked = now;
+            let silent = load.unanswered.is_some_and(|since| now.since(since) >= REPORT_TIMEOUT);
+            if silent && now.since(load.last_probe) >= PROBE_INTERVAL {
+                load.last_probe = now;
                 due.push(load.control);
             }
         }
         due
     }
 
-    /// Chooses the agent for a new flow of `service`, other than `not`.
+    /// Chooses the agent for a new flow of `service`; `except` is chosen only if there is no other.
     pub fn place<'a>(
         &mut self,
         flow: &FlowTuple,
         service: ServiceTag,
         agents: &'a AgentTable,
-        not: Option<ProcessId>,
+        except: Option<ProcessId>,
         now: Timestamp,
     ) -> Option<&'a AgentEntry> {
         let cost = |a: &&AgentEntry| (self.cost(a, now), flow.score(a.process.0));
         let open = || agents.taking_new(service).filter(|a| a.slots > 0);
         let best = open()
-            .filter(|a| Some(a.process) != not)
+            .filter(|a| Some(a.process) != except)
             .min_by_key(cost)
             .or_else(|| open().min_by_key(cost))?;
         self.volumes.entry(service).or_default().count_flow();
@@ -186,34 +194,34 @@
         Some(best)
     }
 
-    /// Returns the time that a request takes at the targets of `service`.
-    fn usual_work(&self, service: ServiceTag) -> Duration {
-        self.usual.get(&service).copied().unwrap_or(FIRST_WORK)
+    /// Returns the typical time that a request takes at the targets of `service`.
+    fn typical_work_of(&self, service: ServiceTag) -> Duration {
+        self.typical_work.get(&service).copied().unwrap_or(FIRST_WORK)
     }
 
     fn cost(&self, agent: &AgentEntry, now: Timestamp) -> u32 {
         let far = if agent.near { 0 } else { self.far_penalty(agent.service) };
         let silent = if self.silent(agent.process, now) { SILENT_PENALTY } else { 0 };
         let Some(load) = self.loads.get(&agent.process) else { return far };
-        cost_there(&load.report, load.sent, self.usual_work(agent.service)) + far + silent
+        target_cost(&load.report, load.sent, self.typical_work_of(agent.service)) + far + silent
     }
 }
 
-/// Returns what a new flow costs at a target that was sent so many since its report, in thousandths of the `usual` time of a
-/// request.
+/// Returns the cost of a new flow at a target to which `sent` flows have gone since its report, in
+/// thousandths of `typical_work`, the typical time of a request.
 ///
-/// Slots alone would give a cold target as much as a warm one.
-fn cost_there(report: &LoadReport, sent: u32, usual: Duration) -> u32 {
+/// By its slots alone, a cold target would get as many flows as a warm one.
+fn target_cost(report: &LoadReport, sent: u32, typical_work: Duration) -> u32 {
     if let Some(cold) = report.pace.cold {
         let until_room = Duration::from_secs(1) * (cold.got + sent) / cold.limit.max(1);
-        return thousandths(until_room, usual);
+        return thousandths(until_room, typical_work);
     }
     let slots = u32::from(report.slots.0.max(1));
     let requests = u32::from(report.in_use) + u32::from(report.queued) + sent;
-    let ahead = (requests * 1000 + report.flows * RESTING_FLOW) / slots;
-    if report.pace.work < usual * SLOW {
+    let ahead = (requests * 1000 + report.flows * IDLE_FLOW_LOAD) / slots;
+    if report.pace.work < typical_work * SLOW_FACTOR {
         return ahead;
     }
-    let work = thousandths(report.pace.work, usual);
-    work - 1000 + thousandths(report.pace.work * ahead / 1000, usual)
+    let work = thousandths(report.pace.work, typical_work);
+    work - 1000 + thousandths(report.pace.work * ahead / 1000, typical_work)
 }
--- a/crates/dillmill-core/src/flow_tuple.rs
+++ b/crates/dillmill-core/src/flow_tuple.rs
@@ -1,4 +1,4 @@
-//! What names a packet flow: the addresses and ports of its two ends.
+//! Identifies a packet flow by the addresses and ports of its two ends.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Caller and route of a flow, as the caller wrote them into its packets.
+/// Addresses of the caller and the route of a flow, as in the packets that the caller sends.
 ///
-/// Decisions only compare and hash it. It takes 12 bytes, as it stands in every table of flows.
+/// Decisions only compare and hash it. It is kept to 12 bytes, as every table of flows stores it.
 ///
 /// ```
 /// use dillmill_core::FlowTuple;
@@ -40,19 +40,19 @@
         }
     }
 
-    /// Returns the caller's end.
+    /// Returns the address of the caller.
     #[must_use]
     pub fn caller(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::from(self.caller_ip), self.caller_port)
     }
 
-    /// Returns the route's end.
+    /// Returns the address of the route.
     #[must_use]
     pub fn route(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::from(self.route_ip), self.route_port)
     }
 
-    /// Returns the rendezvous score of the flow at `seed`: the same in every process.
+    /// Returns the rendezvous score of the flow for `seed`, which is the same in every process.
     #[must_use]
     pub fn score(&self, seed: u64) -> u64 {
         let mut bytes = [0; 12];
@@ -64,7 +64,7 @@
     }
 }
 
-/// Text that names no flow.
+/// The text does not name a flow.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is no flow: CALLER:PORT>ROUTE:PORT")]
 pub struct FlowTupleError(String);
--- a/crates/dillmill-core/src/flow_volume.rs
+++ b/crates/dillmill-core/src/flow_volume.rs
@@ -1,10 +1,10 @@
-//! How many bytes a flow brings, on average.
+//! Estimates the mean number of bytes that callers send in a flow.
 
-/// Flows over which the bytes of a flow are averaged: some hundred uploads tell how long they are, and a change shows
-/// within seconds.
+/// Number of flows at which the counts are halved, so that the mean follows the last flows. Some
+/// hundred uploads show how long they are, and a change shows within seconds.
 const WINDOW: u64 = 64;
 
-/// Bytes that callers send, and the flows in which they do.
+/// Decaying counts of the bytes that callers send and of their flows.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FlowVolume {
     bytes: u64,
@@ -12,7 +12,7 @@
 }
 
 impl FlowVolume {
-    /// Counts bytes of a flow.
+    /// Counts bytes that a caller sends.
     pub fn count_bytes(&mut self, bytes: u64) {
         self.bytes += bytes;
     }
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the bytes that a flow brings.
+    /// Returns the mean number of bytes per flow.
     #[must_use]
     pub fn per_flow(&self) -> u64 {
         self.bytes / self.flows.max(1)
--- a/crates/dillmill-core/src/home_table.rs
+++ b/crates/dillmill-core/src/home_table.rs
@@ -1,7 +1,7 @@
-//! Choice of the agent for the first packet of a flow and for the record of a request.
+//! Chooses the agent for the first packet of a flow and for the record of a request.
 //!
 //! Weighted rendezvous hashing (Thaler and Ravishankar, 1998): every process with the same view
-//! makes the same choice, and a member that comes or goes moves only its own share.
+//! makes the same choice, and a member that joins or leaves moves only its own share.
 
 use std::net::SocketAddrV4;
 
@@ -9,16 +9,16 @@
 
 use crate::{Member, ProcessId, Weight};
 
-/// One candidate of a [`HomeTable`].
+/// An agent among which a [`HomeTable`] chooses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Home {
-    /// The agent's process.
+    /// Process id of the agent.
     pub process: ProcessId,
-    /// The agent's data address.
+    /// Data address of the agent.
     pub data: SocketAddrV4,
-    /// The agent's control address.
+    /// Control address of the agent.
     pub control: SocketAddrV4,
-    /// Share of new flows against the other candidates.
+    /// Share of new flows, relative to the other candidates.
     pub weight: Weight,
 }
 
@@ -33,14 +33,14 @@
     }
 }
 
-/// The agents of one service among which new flows are divided.
+/// The agents of one service that share its new flows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HomeTable {
     homes: Vec<Home>,
 }
 
 impl HomeTable {
-    /// Creates a table; candidates of weight zero get nothing.
+    /// Creates a table. Candidates of weight zero are left out.
     #[must_use]
     pub fn new(homes: impl IntoIterator<Item = Home>) -> Self {
         let homes = homes.into_iter().filter(|home| home.weight.0 > 0).collect();
@@ -53,13 +53,13 @@
         &self.homes
     }
 
-    /// Returns the candidate that `key` belongs to, or `None` in an empty table.
+    /// Returns the candidate that `key` maps to, or `None` if the table is empty.
     #[must_use]
     pub fn home(&self, key: &[u8]) -> Option<&Home> {
         self.homes.iter().max_by(|a, b| score(a, key).total_cmp(&score(b, key)))
     }
 
-    /// Returns all candidates, the home of `key` first.
+    /// Returns all candidates by descending score, the home of `key` first.
     #[must_use]
     pub fn ranked(&self, key: &[u8]) -> Vec<Home> {
         let mut homes = self.homes.clone();
--- a/crates/dillmill-core/src/owner_cache.rs
+++ b/crates/dillmill-core/src/owner_cache.rs
@@ -1,4 +1,4 @@
-//! A balancer's memory of which agent holds a flow. It is a cache: losing it loses no flow.
+//! Caches at a balancer which agent holds a flow. Losing an entry loses no flow.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -6,87 +6,89 @@
 use crate::generations::Generations;
 use crate::{FlowTuple, ProcessId, Timestamp};
 
-/// Flows remembered at most: with some 40 bytes each, 20 MB of the 128 MB for control.
+/// Maximum number of flows: at some 40 bytes each, 20 MB of the 128 MB for control.
 pub const OWNER_CACHE_CAPACITY: usize = 250_000;
-/// How long an unused entry is kept at least: longer than any sensible idle time-out of a flow.
+/// Minimum time for which an unused entry is kept: longer than any sensible idle time-out of a
+/// flow.
 const OWNER_LIFETIME: Duration = Duration::from_secs(20);
-/// A second proof that nobody holds a flow counts only this much later than the first, so that one
-/// search that met a stale view breaks nothing: news of agents takes some 10 ms, a record of a new flow
-/// up to 50 ms.
+/// Minimum time between two proofs that no agent holds a flow before the flow is taken as missing.
+/// One search that used an outdated view thus resets no flow: news of agents takes some 10 ms, the
+/// record of a new flow up to 50 ms.
 pub const MISSING_CONFIRM_DELAY: Duration = Duration::from_millis(50);
-/// The same in the first seconds of a balancer, when all may have started: agents that do not know each other yet leave
-/// their records where others do not look.
+/// The same in the first seconds of a balancer, when all processes may have just started: agents
+/// that do not know each other yet send their records to directories where others do not look.
 pub const MISSING_CONFIRM_DELAY_AT_START: Duration = Duration::from_millis(250);
 
-/// What a balancer remembers of a flow.
+/// Owner of a flow as a balancer knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Owner {
-    /// The agent.
+    /// Process id of the agent.
     pub process: ProcessId,
-    /// Where packets reach it.
+    /// Data address of the agent.
     pub data: SocketAddrV4,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Known {
+enum CacheEntry {
     Owner(Owner),
-    /// A search found no owner.
+    /// A search has found no owner.
     Missing {
         since: Timestamp,
     },
 }
 
-/// The flows that a balancer has seen lately, with their owners.
+/// The flows that a balancer has seen recently, with their owners.
 #[derive(Debug)]
 pub struct OwnerCache {
-    known: Generations<FlowTuple, Known>,
+    entries: Generations<FlowTuple, CacheEntry>,
 }
 
 impl Default for OwnerCache {
     fn default() -> Self {
-        Self { known: Generations::new(OWNER_LIFETIME, OWNER_CACHE_CAPACITY) }
+        Self { entries: Generations::new(OWNER_LIFETIME, OWNER_CACHE_CAPACITY) }
     }
 }
 
 impl OwnerCache {
-    /// Returns the owner of a flow, which counts as a use.
+    /// Returns the owner of a flow and counts as a use of the entry.
     pub fn get(&mut self, flow: &FlowTuple, now: Timestamp) -> Option<Owner> {
-        match self.known.get_mut(flow, now) {
-            Some(Known::Owner(owner)) => Some(*owner),
-            Some(Known::Missing { .. }) | None => None,
+        match self.entries.get_mut(flow, now) {
+            Some(CacheEntry::Owner(owner)) => Some(*owner),
+            Some(CacheEntry::Missing { .. }) | None => None,
         }
     }
 
-    /// Remembers the owner of a flow.
+    /// Stores the owner of a flow.
     pub fn set(&mut self, flow: FlowTuple, owner: Owner, now: Timestamp) {
-        self.known.insert(flow, Known::Owner(owner), now);
+        self.entries.insert(flow, CacheEntry::Owner(owner), now);
     }
 
-    /// Forgets a flow.
+    /// Removes a flow.
     pub fn forget(&mut self, flow: &FlowTuple) {
-        self.known.remove(flow);
+        self.entries.remove(flow);
     }
 
-    /// Notes that a search found no owner; returns whether that has now been found twice, `apart` from each other.
+    /// Notes that a search has found no owner; returns whether an earlier search, at least `apart`
+    /// before, has also found none.
     pub fn missing(&mut self, flow: FlowTuple, apart: Duration, now: Timestamp) -> bool {
-        match self.known.peek(&flow) {
-            Some(Known::Missing { since }) => now.since(*since) >= apart,
-            Some(Known::Owner(_)) | None => {
-                self.known.insert(flow, Known::Missing { since: now }, now);
+        match self.entries.peek(&flow) {
+            Some(CacheEntry::Missing { since }) => now.since(*since) >= apart,
+            Some(CacheEntry::Owner(_)) | None => {
+                self.entries.insert(flow, CacheEntry::Missing { since: now }, now);
                 false
             }
         }
     }
 
-    /// Returns the number of flows held.
+    /// Returns the number of flows in the cache.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.entries.len()
     }
 
-    /// Returns whether no flow is held.
+    /// Returns whether the cache is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.entries.is_empty()
     }
 }
--- a/crates/dillmill-core/src/registrations.rs
+++ b/crates/dillmill-core/src/registrations.rs
@@ -1,6 +1,8 @@
-//! Records of a target's flows on their way to the directories, until these have them.
+//! Sends records of a target's flows to their directories, and sends them again until they are
+//! acknowledged.
 //!
-//! A search takes a directory's word that an agent does not hold a flow, so a record must not get lost.
+//! A search relies on the statement of a directory that an agent does not hold a flow, so no record
+//! may get lost.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -8,21 +10,21 @@
 
 use crate::{AgentTable, FlowRecord, ProcessId, Timestamp};
 
-/// Records in one datagram: some 35 bytes each.
+/// Number of records in one datagram, some 35 bytes each.
 const RECORDS_PER_BATCH: usize = 32;
-/// Time until a batch that was not acknowledged is sent again; it doubles with each try.
-const RESEND_AFTER: Duration = Duration::from_millis(200);
-/// Times that a batch is sent: over some 6 s, longer than most pauses of a process.
-const TRIES: u32 = 6;
-/// Batches that wait for an acknowledgement at most, the oldest are given up first.
-const UNACKNOWLEDGED: usize = 4096;
+/// Time until an unacknowledged batch is sent again. It doubles with each attempt.
+const RESEND_DELAY: Duration = Duration::from_millis(200);
+/// Number of times that a batch is sent, over some 6 s: longer than most pauses of a process.
+const MAX_ATTEMPTS: u32 = 6;
+/// Maximum number of batches that wait for an acknowledgement. The oldest are given up first.
+const MAX_UNACKNOWLEDGED: usize = 4096;
 
-/// Records for one directory.
+/// A batch of records for one directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordBatch {
     /// Control address of the directory.
     pub to: SocketAddrV4,
-    /// Number by which the directory acknowledges it.
+    /// Number of the batch, which the directory acknowledges.
     pub number: u32,
     /// The records.
     pub records: Vec<FlowRecord>,
@@ -32,10 +34,10 @@
 struct Unacknowledged {
     batch: RecordBatch,
     due: Timestamp,
-    tries: u32,
+    attempts: u32,
 }
 
-/// The records of an agent's flows that the directories have not acknowledged.
+/// The records of an agent's flows that their directories have not acknowledged yet.
 #[derive(Debug, Default)]
 pub struct Registrations {
     pending: Vec<FlowRecord>,
@@ -51,14 +53,14 @@
 
     /// Adds the records of open flows whose directories differ between two tables.
     pub fn push_moved(&mut self, open: Vec<FlowRecord>, before: &AgentTable, after: &AgentTable) {
-        let push_moved = |record: &FlowRecord| {
+        let directories_changed = |record: &FlowRecord| {
             let [before, after] = [before, after].map(|t| t.directory(&record.flow));
             !before.map(|a| a.process).eq(after.map(|a| a.process))
         };
-        self.pending.extend(open.into_iter().filter(push_moved));
+        self.pending.extend(open.into_iter().filter(directories_changed));
     }
 
-    /// Returns the new records, for the directories other than `me`.
+    /// Returns the new records in batches for their directories, `me` left out.
     pub fn take_new(
         &mut self,
         agents: &AgentTable,
@@ -78,7 +80,8 @@
         batches
     }
 
-    /// Returns those of the `accepted` flows that the directory at `to` is to remember, or may be asked for.
+    /// Returns the records of those `accepted` flows that the directory at `to` records or may be
+    /// asked for.
     pub fn records_for(
         &mut self,
         accepted: Vec<FlowRecord>,
@@ -102,33 +105,34 @@
             self.last_number = self.last_number.wrapping_add(1);
             let batch = RecordBatch { to, number: self.last_number, records: chunk.to_vec() };
             batches.push(batch.clone());
-            let due = now + RESEND_AFTER;
-            self.unacknowledged.push_back(Unacknowledged { batch, due, tries: 1 });
+            let due = now + RESEND_DELAY;
+            self.unacknowledged.push_back(Unacknowledged { batch, due, attempts: 1 });
         }
-        let over = self.unacknowledged.len().saturating_sub(UNACKNOWLEDGED);
+        let over = self.unacknowledged.len().saturating_sub(MAX_UNACKNOWLEDGED);
         self.unacknowledged.drain(..over);
         batches
     }
 
-    /// Returns the batches that are due to be sent again.
+    /// Returns the batches that are due to be sent again, and gives up those that were sent too
+    /// often.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<RecordBatch> {
         let mut batches = Vec::new();
         self.unacknowledged.retain_mut(|waiting| {
             if waiting.due > now {
                 return true;
             }
-            if waiting.tries >= TRIES {
+            if waiting.attempts >= MAX_ATTEMPTS {
                 return false;
             }
-            waiting.due = now + RESEND_AFTER * 2_u32.pow(waiting.tries);
-            waiting.tries += 1;
+            waiting.due = now + RESEND_DELAY * 2_u32.pow(waiting.attempts);
+            waiting.attempts += 1;
             batches.push(waiting.batch.clone());
             true
         });
         batches
     }
 
-    /// Takes in that the directory at `from` has the batch `number`.
+    /// Notes that the directory at `from` has acknowledged the batch `number`.
     pub fn acknowledged(&mut self, from: SocketAddrV4, number: u32) {
         self.unacknowledged.retain(|w| w.batch.number != number || w.batch.to != from);
     }
--- a/crates/dillmill-core/src/segment.rs
+++ b/crates/dillmill-core/src/segment.rs
@@ -1,4 +1,4 @@
-//! What the head of a packet says, in terms that decisions use.
+//! Header fields of a packet that decisions use.
 
 use crate::FlowTuple;
 
@@ -7,40 +7,42 @@
 pub enum SegmentKind {
     /// The caller opens a flow.
     Open {
-        /// How many copies the caller has sent before; 0 for the first.
+        /// Number of copies that the caller has sent before; 0 for the first packet.
         copies: u32,
     },
     /// The target accepts a flow.
     Accept,
-    /// Data or an acknowledgement.
+    /// Data or a bare acknowledgement.
     Data,
-    /// The sender will send no more.
+    /// The sender will send no more data.
     Finish,
-    /// The sender has given the flow up.
+    /// The sender has aborted the flow.
     Reset,
 }
 
-/// The head of a packet of a flow.
+/// Header of a packet of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Segment {
-    /// The flow, whichever end has sent the packet.
+    /// The flow; the same for packets of either end.
     pub flow: FlowTuple,
     /// Kind of the packet.
     pub kind: SegmentKind,
-    /// Number of the first byte that the packet carries.
+    /// Sequence number of the first byte of data.
     pub seq: u32,
-    /// Number of the next byte that the sender expects; meaningless on [`SegmentKind::Open`].
+    /// Sequence number of the next byte that the sender expects; meaningless on
+    /// [`SegmentKind::Open`].
     pub ack: u32,
-    /// Bytes of data.
+    /// Length of the data in bytes.
     pub len: u16,
-    /// The target did not take the packet and has given it back.
+    /// The target did not take the packet and has returned it.
     pub returned: bool,
-    /// The number that the packet was given on its way to the target, where it was given back.
+    /// Mark that the agent gave the packet on its way to the target, if the target has returned it.
     pub mark: u32,
 }
 
 impl Segment {
-    /// Returns whether its sender, an end of an open flow, sends it again until an answer comes.
+    /// Returns whether the sender, one end of an open flow, repeats the packet until it gets an
+    /// answer.
     #[must_use]
     pub fn wants_answer(&self) -> bool {
         match self.kind {
