--- a/crates/dillmill-agent/src/answer.rs
+++ b/crates/dillmill-agent/src/answer.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use dillmill_node::{Framed, NodeError};
-use dillmill_wire::{KeptAnswer, StreamMessage};
+use dillmill_wire::{CachedResponse, StreamMessage};
 use h3::error::Code;
 use http::{HeaderValue, Response, StatusCode};
 
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The whole answer.
-    Answer(Arc<KeptAnswer>),
+    Answer(Arc<CachedResponse>),
     /// It was not run, and no earlier try of it was.
     NotRun {
         /// Why.
@@ -63,7 +63,7 @@
         Self::Refused { status, why: why.to_string() }
     }
 
-    fn to_answer(&self) -> KeptAnswer {
+    fn to_answer(&self) -> CachedResponse {
         match self {
             Self::Answer(answer) => (**answer).clone(),
             Self::NotRun { why, retry_after } => {
@@ -85,7 +85,7 @@
     outcome: Option<&str>,
     retry_after: Option<Duration>,
     why: &str,
-) -> KeptAnswer {
+) -> CachedResponse {
     let mut headers = vec![("content-type".to_owned(), b"text/plain".to_vec())];
     if let Some(outcome) = outcome {
         headers.push((OUTCOME_HEADER.to_owned(), outcome.as_bytes().to_vec()));
@@ -95,7 +95,7 @@
         headers.push(("retry-after".to_owned(), ms.div_ceil(1000).to_string().into_bytes()));
         headers.push((RETRY_AFTER_MS_HEADER.to_owned(), ms.to_string().into_bytes()));
     }
-    KeptAnswer { status: status.as_u16(), headers, body: format!("{why}\n").into_bytes() }
+    CachedResponse { status: status.as_u16(), headers, body: format!("{why}\n").into_bytes() }
 }
 
 /// Where an answer goes.
@@ -130,7 +130,7 @@
                 stream.send_response(response).await.map_err(gone)
             }
             Self::Agent(framed) => {
-                framed.send(&StreamMessage::AnswerHead { status, headers }).await
+                framed.send(&StreamMessage::ResponseHead { status, headers }).await
             }
         }
     }
@@ -143,7 +143,7 @@
     pub async fn data(&mut self, part: Bytes) -> Result<(), NodeError> {
         match self {
             Self::Caller(stream) => stream.send_data(part).await.map_err(gone),
-            Self::Agent(framed) => framed.send(&StreamMessage::AnswerData(part.to_vec())).await,
+            Self::Agent(framed) => framed.send(&StreamMessage::ResponseData(part.to_vec())).await,
         }
     }
 
@@ -155,7 +155,7 @@
     pub async fn end(&mut self) -> Result<(), NodeError> {
         match self {
             Self::Caller(stream) => stream.finish().await.map_err(gone),
-            Self::Agent(framed) => framed.send(&StreamMessage::AnswerEnd).await,
+            Self::Agent(framed) => framed.send(&StreamMessage::ResponseEnd).await,
         }
     }
 
@@ -164,7 +164,7 @@
         match self {
             Self::Caller(stream) => stream.stop_stream(Code::H3_INTERNAL_ERROR),
             Self::Agent(framed) => {
-                let _ = framed.send(&StreamMessage::AnswerBroken).await;
+                let _ = framed.send(&StreamMessage::ResponseAborted).await;
             }
         }
     }
--- a/crates/dillmill-agent/src/chain.rs
+++ b/crates/dillmill-agent/src/chain.rs
@@ -10,7 +10,7 @@
 use dillmill_core::placement::Policy;
 use dillmill_core::scheduler;
 use dillmill_core::{EventKind, Timestamp};
-use dillmill_wire::KeptAnswer;
+use dillmill_wire::CachedResponse;
 use futures_util::future::{Either, FutureExt, LocalBoxFuture, Shared, select};
 use futures_util::{StreamExt, pin_mut};
 use prometheus::IntGauge;
@@ -347,7 +347,7 @@
     cx: &AgentContext,
     req: &Request,
     now: Timestamp,
-) -> Result<KeptAnswer, TargetError> {
+) -> Result<CachedResponse, TargetError> {
     let response = cx.target.send(req, now).await?;
     let status = response.status().as_u16();
     let headers = crate::request::end_to_end_headers(response.headers());
@@ -361,7 +361,7 @@
         }
         body.extend_from_slice(&part);
     }
-    Ok(KeptAnswer { status, headers, body })
+    Ok(CachedResponse { status, headers, body })
 }
 
 /// Makes a [`Closed`] of a future.
--- a/crates/dillmill-agent/src/claiming.rs
+++ b/crates/dillmill-agent/src/claiming.rs
@@ -7,7 +7,7 @@
 };
 use dillmill_core::{MemberStatus, Timestamp};
 use dillmill_node::Question;
-use dillmill_wire::{Ask, Reply};
+use dillmill_wire::{PeerRequest, Reply};
 use futures_util::future::join_all;
 
 use crate::context::AgentContext;
@@ -41,10 +41,10 @@
 }
 
 /// Asks an agent of the service; less patiently one that is held for down.
-pub(crate) async fn ask(cx: &AgentContext, to: RingMember, ask: Ask) -> Option<Reply> {
+pub(crate) async fn ask(cx: &AgentContext, to: RingMember, ask: PeerRequest) -> Option<Reply> {
     let patience = match (&ask, is_down(cx, to)) {
         (_, true) => DOWN_PATIENCE,
-        (Ask::Claim { .. }, false) => CLAIM_PATIENCE,
+        (PeerRequest::Claim { .. }, false) => CLAIM_PATIENCE,
         (_, false) => PATIENCE,
     };
     cx.node.ask(to, &cx.service, ask, patience).await.ok()
@@ -109,7 +109,7 @@
     key: ClaimKey,
     epoch: Epoch,
 ) -> Option<ClaimAnswer> {
-    match ask(cx, authority, Ask::Claim { key, epoch, by: cx.me }).await {
+    match ask(cx, authority, PeerRequest::Claim { key, epoch, by: cx.me }).await {
         Some(Reply::Claim(answer)) => Some(answer),
         _ => None,
     }
@@ -121,7 +121,7 @@
         if member.process == cx.me.process || *member == silent || is_down(cx, *member) {
             continue;
         }
-        if let Some(Reply::Ring(theirs)) = ask(cx, *member, Ask::Ring(mine.clone())).await
+        if let Some(Reply::Ring(theirs)) = ask(cx, *member, PeerRequest::Ring(mine.clone())).await
             && cx.ledger.adopt(theirs).await
         {
             return true;
@@ -135,7 +135,7 @@
     if theirs.epoch > mine.epoch {
         cx.ledger.adopt(theirs).await;
     } else if other.process != cx.me.process {
-        let _ = ask(cx, other, Ask::Ring(mine)).await;
+        let _ = ask(cx, other, PeerRequest::Ring(mine)).await;
     }
 }
 
@@ -151,11 +151,11 @@
     let first = cx.ledger.copy_keeper(key).await;
     let rest = others.into_iter().filter(|m| Some(*m) != first);
     for keeper in first.into_iter().chain(rest) {
-        let copy = Ask::Copy { key, epoch: ring.epoch, holder: cx.me };
+        let copy = PeerRequest::Copy { key, epoch: ring.epoch, holder: cx.me };
         match ask(cx, keeper, copy).await {
             Some(Reply::Copied(true)) => return Some(true),
             Some(Reply::Copied(false)) => {
-                let answer = ask(cx, keeper, Ask::Ring(ring.clone())).await;
+                let answer = ask(cx, keeper, PeerRequest::Ring(ring.clone())).await;
                 if let Some(Reply::Ring(theirs)) = answer {
                     cx.ledger.adopt(theirs).await;
                 }
@@ -192,10 +192,10 @@
 /// Asks one agent about a key; brings it to our epoch first if it is behind.
 async fn inquire(cx: &AgentContext, agent: RingMember, key: ClaimKey, epoch: Epoch) -> Finding {
     for _ in 0..2 {
-        match ask(cx, agent, Ask::Inquire { key, epoch }).await {
+        match ask(cx, agent, PeerRequest::Inquire { key, epoch }).await {
             Some(Reply::Inquiry(Inquiry::OldEpoch)) => {
                 let (ring, _) = cx.ledger.ring().await;
-                let _ = ask(cx, agent, Ask::Ring(ring)).await;
+                let _ = ask(cx, agent, PeerRequest::Ring(ring)).await;
             }
             Some(Reply::Inquiry(Inquiry::NewerEpoch(ring))) => {
                 cx.ledger.adopt(ring).await;
@@ -214,7 +214,7 @@
     if let Some(authority) = cx.ledger.authority(key).await
         && authority.process != cx.me.process
     {
-        let _ = ask(cx, authority, Ask::Release { key, by: cx.me.process }).await;
+        let _ = ask(cx, authority, PeerRequest::Release { key, by: cx.me.process }).await;
     }
 }
 
@@ -229,23 +229,23 @@
 
 async fn answer(cx: AgentContext, question: Question) {
     let reply = match question.ask.clone() {
-        Ask::Claim { key, epoch, by } => match claim_here(&cx, key, epoch, by).await {
+        PeerRequest::Claim { key, epoch, by } => match claim_here(&cx, key, epoch, by).await {
             Some(answer) => Reply::Claim(answer),
             None => return,
         },
-        Ask::Inquire { key, epoch } => Reply::Inquiry(cx.ledger.inquire(key, epoch).await),
-        Ask::Copy { key, epoch, holder } => {
+        PeerRequest::Inquire { key, epoch } => Reply::Inquiry(cx.ledger.inquire(key, epoch).await),
+        PeerRequest::Copy { key, epoch, holder } => {
             Reply::Copied(cx.ledger.keep_copy(key, epoch, holder).await)
         }
-        Ask::Release { key, by } => {
+        PeerRequest::Release { key, by } => {
             cx.ledger.release(key, by);
             Reply::Done
         }
-        Ask::Ring(ring) => {
+        PeerRequest::Ring(ring) => {
             cx.ledger.adopt(ring).await;
             Reply::Ring(cx.ledger.ring().await.0)
         }
-        Ask::HandOver(records) => {
+        PeerRequest::HandOver(records) => {
             cx.ledger.take_over(records);
             Reply::Done
         }
--- a/crates/dillmill-agent/src/hand_over.rs
+++ b/crates/dillmill-agent/src/hand_over.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use dillmill_core::claims::RingMember;
 use dillmill_node::{Framed, Handed};
-use dillmill_wire::{KeptAnswer, StreamMessage};
+use dillmill_wire::{CachedResponse, StreamMessage};
 use http::Method;
 
 use crate::answer::{Outcome, Sink};
@@ -57,17 +57,17 @@
     let mut framed = open(cx, sibling, req).await?;
     let limit = req.deadline.since(cx.node.clock.now()) + GRACE;
     let head = compio::time::timeout(limit, framed.receive()).await;
-    let Ok(Ok(StreamMessage::AnswerHead { status, headers })) = head else {
+    let Ok(Ok(StreamMessage::ResponseHead { status, headers })) = head else {
         return Err(HandOverError::Broken);
     };
     let broken = |_| HandOverError::BrokenAfterHead;
     sink.head(status, headers).await.map_err(broken)?;
     loop {
         match framed.receive().await {
-            Ok(StreamMessage::AnswerData(part)) => {
+            Ok(StreamMessage::ResponseData(part)) => {
                 sink.data(Bytes::from(part)).await.map_err(broken)?;
             }
-            Ok(StreamMessage::AnswerEnd) => return sink.end().await.map_err(broken),
+            Ok(StreamMessage::ResponseEnd) => return sink.end().await.map_err(broken),
             _ => {
                 sink.broken().await;
                 return Err(HandOverError::BrokenAfterHead);
@@ -96,15 +96,15 @@
 }
 
 async fn read_answer(framed: &mut Framed) -> Option<Outcome> {
-    let Ok(StreamMessage::AnswerHead { status, headers }) = framed.receive().await else {
+    let Ok(StreamMessage::ResponseHead { status, headers }) = framed.receive().await else {
         return None;
     };
     let mut body = Vec::new();
     loop {
         match framed.receive().await.ok()? {
-            StreamMessage::AnswerData(part) => body.extend_from_slice(&part),
-            StreamMessage::AnswerEnd => {
-                return Some(Outcome::Answer(Arc::new(KeptAnswer { status, headers, body })));
+            StreamMessage::ResponseData(part) => body.extend_from_slice(&part),
+            StreamMessage::ResponseEnd => {
+                return Some(Outcome::Answer(Arc::new(CachedResponse { status, headers, body })));
             }
             _ => return None,
         }
--- a/crates/dillmill-agent/src/ledger.rs
+++ b/crates/dillmill-agent/src/ledger.rs
@@ -10,7 +10,7 @@
     RingMember,
 };
 use dillmill_node::Clock;
-use dillmill_wire::KeptAnswer;
+use dillmill_wire::CachedResponse;
 
 use crate::answer::Outcome;
 use crate::metrics::AgentMetrics;
@@ -34,7 +34,7 @@
 }
 
 /// A record and its answer, as passed between agents.
-pub type Handed = (HandedRecord, Option<KeptAnswer>);
+pub type Handed = (HandedRecord, Option<CachedResponse>);
 
 enum Input {
     Enter(ClaimKey, flume::Sender<Entry>),
--- a/crates/dillmill-agent/src/request.rs
+++ b/crates/dillmill-agent/src/request.rs
@@ -3,7 +3,7 @@
 use dillmill_core::claims::ClaimKey;
 use dillmill_core::{GroupName, ProcessId, ServiceName, Timestamp};
 use dillmill_settings::{ResolvedLimits, ResolvedOperation};
-use dillmill_wire::HandedRequest;
+use dillmill_wire::ForwardedRequest;
 use http::Method;
 use ring::digest;
 
@@ -75,9 +75,9 @@
 
     /// Returns the form in which it is handed to process `to`.
     #[must_use]
-    pub fn to_handed(&self, to: ProcessId, now: Timestamp) -> HandedRequest {
+    pub fn to_handed(&self, to: ProcessId, now: Timestamp) -> ForwardedRequest {
         let remaining = self.deadline.since(now).as_millis();
-        HandedRequest {
+        ForwardedRequest {
             to,
             service: self.service.clone(),
             group: self.group.clone(),
--- a/crates/dillmill-agent/src/ring_task.rs
+++ b/crates/dillmill-agent/src/ring_task.rs
@@ -5,7 +5,7 @@
 use dillmill_core::claims::{Ring, RingMember};
 use dillmill_core::{EventKind, MemberStatus, ProcessId, Timestamp};
 use dillmill_store::RingStore;
-use dillmill_wire::{Ask, KeptAnswer};
+use dillmill_wire::{CachedResponse, PeerRequest};
 use futures_util::future::join_all;
 
 use crate::claiming;
@@ -129,7 +129,8 @@
 
 async fn tell_all(cx: &AgentContext, ring: &Ring) {
     let others = ring.members.iter().filter(|m| m.process != cx.me.process);
-    join_all(others.map(|member| claiming::ask(cx, *member, Ask::Ring(ring.clone())))).await;
+    join_all(others.map(|member| claiming::ask(cx, *member, PeerRequest::Ring(ring.clone()))))
+        .await;
 }
 
 /// Passes on all records and says so in the ring; call it when nothing is dispatched any more.
@@ -178,7 +179,7 @@
         let mut rest = records.as_slice();
         while !rest.is_empty() {
             let (part, after) = rest.split_at(fitting(rest));
-            if claiming::ask(cx, heir, Ask::HandOver(part.to_vec())).await.is_none() {
+            if claiming::ask(cx, heir, PeerRequest::HandOver(part.to_vec())).await.is_none() {
                 return false;
             }
             rest = after;
@@ -190,7 +191,7 @@
 /// Returns how many records fit one datagram; at least one.
 fn fitting(records: &[Handed]) -> usize {
     let mut bytes = 0;
-    let size = |answer: &Option<KeptAnswer>| {
+    let size = |answer: &Option<CachedResponse>| {
         let Some(answer) = answer else { return RECORD_LEN };
         let headers: usize = answer.headers.iter().map(|(n, v)| n.len() + v.len() + 4).sum();
         RECORD_LEN + answer.body.len() + headers
--- a/crates/dillmill-flow/src/agent_task/directory.rs
+++ b/crates/dillmill-flow/src/agent_task/directory.rs
@@ -14,17 +14,17 @@
                 for record in records {
                     self.gate.register(record, now);
                 }
-                self.handle.send(from, Message::Flow(FlowMessage::Recorded { number }));
+                self.handle.send(from, Message::Flow(FlowMessage::RecordsAck { number }));
             }
-            FlowMessage::Recorded { number } => self.registrations.acknowledged(from, number),
+            FlowMessage::RecordsAck { number } => self.registrations.acknowledged(from, number),
             FlowMessage::AskRecords { .. } => {
                 let accepted = self.gate.records();
                 let batches = self.registrations.records_for(accepted, &self.agents, from, now);
                 self.send_records(batches);
                 let process = self.handle.process;
-                self.handle.send(from, Message::Flow(FlowMessage::ToldAll { process }));
+                self.handle.send(from, Message::Flow(FlowMessage::RecordsComplete { process }));
             }
-            FlowMessage::ToldAll { process } => self.catch_up.answered(process),
+            FlowMessage::RecordsComplete { process } => self.catch_up.answered(process),
             FlowMessage::AskLoad => {
                 let report = self.report(now);
                 self.handle.send(from, Message::Load(report));
--- a/crates/dillmill-flow/src/agent_task/heartbeats.rs
+++ b/crates/dillmill-flow/src/agent_task/heartbeats.rs
@@ -7,7 +7,7 @@
 use dillmill_core::target_runs::{FIRST_HEARTBEATS, HeartbeatOutcome, Predecessor};
 use dillmill_core::{EventKind, FlowTuple, MemberStatus, ServiceTag, TargetRun, Timestamp};
 use dillmill_node::TrafficKind;
-use dillmill_platform::endpoint::Accepted;
+use dillmill_platform::endpoint::CallOutcome;
 use dillmill_platform::packet;
 use dillmill_platform::{EndpointCall, Heartbeat, TargetCall, TargetState};
 
@@ -31,17 +31,21 @@
         match call {
             EndpointCall::Ready(tx) => {
                 let ready = self.gate.can_serve(now) && !self.routes.is_empty();
-                let _ = tx.send(if ready { Accepted::Yes } else { Accepted::No });
+                let _ = tx.send(if ready {
+                    CallOutcome::Acknowledged
+                } else {
+                    CallOutcome::Unavailable
+                });
             }
             EndpointCall::Target(TargetCall::Heartbeat { run, heartbeat }, tx) => {
                 if let Some(why) = self.refusal(&run, &heartbeat) {
                     self.refuse_call(&format!("heartbeat of {run}: {why}"), now);
                     // Fails only if the caller has gone.
-                    let _ = tx.send(Accepted::Refused);
+                    let _ = tx.send(CallOutcome::Refused);
                     return;
                 }
                 let change = self.heartbeat(&run, &heartbeat, now);
-                let _ = tx.send(Accepted::Yes);
+                let _ = tx.send(CallOutcome::Acknowledged);
                 self.tell_ended(&change.ended, now).await;
                 self.ask_target(change.in_doubt, now).await;
             }
@@ -54,7 +58,7 @@
                     let what = format!("late word of target {run} that it ends");
                     self.handle.journal.record(EventKind::Member, what, "not the current run");
                 }
-                let _ = tx.send(Accepted::Yes);
+                let _ = tx.send(CallOutcome::Acknowledged);
             }
             EndpointCall::Malformed { what } => self.refuse_call(&what, now),
         }
--- a/crates/dillmill-flow/src/balancer.rs
+++ b/crates/dillmill-flow/src/balancer.rs
@@ -6,7 +6,7 @@
 
 use dillmill_core::{EventKind, FlowCoverage, MemberStatus, Role, Weight};
 use dillmill_node::{Inlets, Node, NodeError, NodeSpec, SettingsSource};
-use dillmill_platform::endpoint::Accepted;
+use dillmill_platform::endpoint::CallOutcome;
 use dillmill_platform::{EndpointCall, ProcessSettings};
 use error_stack::Report;
 
@@ -110,10 +110,14 @@
         match call {
             EndpointCall::Ready(tx) => {
                 let ready = readiness.get() == Readiness::Ready;
-                let _ = tx.send(if ready { Accepted::Yes } else { Accepted::No });
+                let _ = tx.send(if ready {
+                    CallOutcome::Acknowledged
+                } else {
+                    CallOutcome::Unavailable
+                });
             }
             EndpointCall::Target(_, tx) => {
-                let _ = tx.send(Accepted::No);
+                let _ = tx.send(CallOutcome::Unavailable);
             }
             EndpointCall::Malformed { .. } => {}
         }
--- a/crates/dillmill-flow/src/balancer_task.rs
+++ b/crates/dillmill-flow/src/balancer_task.rs
@@ -360,9 +360,9 @@
                 }
             }
             FlowMessage::Records { .. }
-            | FlowMessage::Recorded { .. }
+            | FlowMessage::RecordsAck { .. }
             | FlowMessage::AskRecords { .. }
-            | FlowMessage::ToldAll { .. }
+            | FlowMessage::RecordsComplete { .. }
             | FlowMessage::AskLoad => {}
         }
     }
--- a/crates/dillmill-flow/src/config.rs
+++ b/crates/dillmill-flow/src/config.rs
@@ -15,7 +15,7 @@
 /// protection against an attacker on the network.
 #[must_use]
 pub fn process_config(settings: &ProcessSettings, metrics_port: Option<u16>) -> ProcessConfig {
-    let control_port = settings.own_ports.0;
+    let control_port = settings.internal_port_range.0;
     let at = |port| SocketAddrV4::new(settings.ip, port);
     let digest = Sha256::digest(format!("dillmill {}", settings.store));
     let mut key = String::new();
--- a/crates/dillmill-flow/src/operator_watch.rs
+++ b/crates/dillmill-flow/src/operator_watch.rs
@@ -87,7 +87,7 @@
     pub fn spawn(node: &Node, settings: &ProcessSettings) {
         let waits = if settings.first_start {
             draw(FIRST_START_MS)
-        } else if settings.is_named() {
+        } else if settings.is_seed() {
             draw(NAMED_FIRST_MS)
         } else {
             Waits::Share(rand::rng().random())
@@ -99,7 +99,7 @@
             view: None,
             after: None,
             started: node.handle.started,
-            freshness: if settings.is_named() { Freshness::Newest } else { Freshness::SecondsOld },
+            freshness: if settings.is_seed() { Freshness::Newest } else { Freshness::MayBeStale },
             waits,
         };
         compio::runtime::spawn(watch.run()).detach();
@@ -184,7 +184,7 @@
     async fn step(&mut self) -> Step<()> {
         let Some(after) = self.after else { return self.read().await };
         match self.store.watch(operator_key::PREFIX, after, WATCH).await? {
-            WatchOutcome::HistoryGone => {
+            WatchOutcome::HistoryCompacted => {
                 let cause = format!("store has forgotten what came after {after}");
                 self.handle.journal.record(EventKind::Platform, "watch starts again", cause);
                 self.read().await
@@ -234,7 +234,7 @@
         if self.view.as_ref().is_some_and(known) {
             return Ok(());
         }
-        let Some(entry) = self.store.get(SIZE_KEY, Freshness::SecondsOld).await? else {
+        let Some(entry) = self.store.get(SIZE_KEY, Freshness::MayBeStale).await? else {
             return Ok(());
         };
         match std::str::from_utf8(&entry.value).ok().and_then(|text| text.parse().ok()) {
--- a/crates/dillmill-flow/src/session.rs
+++ b/crates/dillmill-flow/src/session.rs
@@ -84,7 +84,7 @@
             handle: node.handle.clone(),
             control,
             lease: None,
-            ttl: LEASE.max(settings.shortest_lease),
+            ttl: LEASE.max(settings.min_lease_ttl),
             first_start: settings.first_start,
             share: rand::rng().random(),
             views: node.handle.views(),
@@ -216,7 +216,7 @@
         let value = self.control.to_string().into_bytes();
         match self.store.put(&key, value, lease.id).await? {
             CommitOutcome::Done(_) => self.lease = Some(lease.id),
-            CommitOutcome::Conflict(_) | CommitOutcome::LeaseGone => {
+            CommitOutcome::Conflict(_) | CommitOutcome::LeaseNotFound => {
                 return Err(Report::new(self.store.error("write the entry", "lease is over")));
             }
         }
@@ -226,7 +226,7 @@
     /// Reads where the keepers are.
     async fn join(&mut self) -> Step<()> {
         // An address that is some seconds old leads to somebody who knows the others.
-        let page = self.store.list(PREFIX, "", Freshness::SecondsOld).await?;
+        let page = self.store.list(PREFIX, "", Freshness::MayBeStale).await?;
         unreadable::note(&self.handle, &page.unreadable);
         let mut peers = Vec::with_capacity(page.entries.len());
         for entry in &page.entries {
--- a/crates/dillmill-node/src/control.rs
+++ b/crates/dillmill-node/src/control.rs
@@ -241,7 +241,7 @@
             Message::Changes(changes) => {
                 self.take_settings(&format!("peer {from}"), changes, None).await;
             }
-            Message::Ask { id, to, service, ask } => {
+            Message::PeerRequest { id, to, service, ask } => {
                 if to == self.membership.me().process
                     && let Some(inlets) = &self.inlets
                 {
--- a/crates/dillmill-node/src/control/comparing.rs
+++ b/crates/dillmill-node/src/control/comparing.rs
@@ -43,7 +43,7 @@
             if answer.is_err() {
                 let _ = handle.tx.send(Input::SyncFailed);
             }
-            if let Ok(StreamMessage::Synced { members, changes, tree, routes, evacuations }) =
+            if let Ok(StreamMessage::SyncReply { members, changes, tree, routes, evacuations }) =
                 answer
             {
                 let _ = handle.tx.send(Input::Members(members));
@@ -102,7 +102,7 @@
             (Vec::new(), Some(self.tree.clone()))
         };
         let evacuations = self.evacuations.as_deref().cloned();
-        StreamMessage::Synced { members, changes, tree, routes, evacuations }
+        StreamMessage::SyncReply { members, changes, tree, routes, evacuations }
     }
 
     pub(super) fn note_busy(&mut self, now: Timestamp) {
--- a/crates/dillmill-node/src/handle.rs
+++ b/crates/dillmill-node/src/handle.rs
@@ -10,7 +10,7 @@
     EvacuationChange, Evacuations, EventKind, Member, ProcessId, ServiceName, Timestamp, VmName,
 };
 use dillmill_settings::RouteTree;
-use dillmill_wire::{Ask, ClusterKey, FlowMessage, HandedRequest, Message, Reply};
+use dillmill_wire::{ClusterKey, FlowMessage, ForwardedRequest, Message, PeerRequest, Reply};
 use rand::Rng;
 
 use crate::control::Input;
@@ -72,14 +72,14 @@
     /// The service it is about.
     pub service: ServiceName,
     /// The question.
-    pub ask: Ask,
+    pub ask: PeerRequest,
 }
 
 /// A request that another agent hands over, with the connection for the answer.
 #[derive(Debug)]
 pub struct Handed {
     /// The request.
-    pub request: HandedRequest,
+    pub request: ForwardedRequest,
     /// The connection.
     pub framed: Framed,
 }
@@ -165,14 +165,14 @@
         &self,
         to: RingMember,
         service: &ServiceName,
-        ask: Ask,
+        ask: PeerRequest,
         patience: Duration,
     ) -> Result<Reply, NodeError> {
         // All tries have one number, so that a late answer to the first still counts.
         let id: u64 = rand::rng().random();
         let (tx, rx) = flume::bounded(1);
         let _ = self.tx.send(Input::Await { id, tx });
-        let message = Message::Ask { id, to: to.process, service: service.clone(), ask };
+        let message = Message::PeerRequest { id, to: to.process, service: service.clone(), ask };
         let mut left = patience;
         let mut wait = ASK_AGAIN;
         while !left.is_zero() {
--- a/crates/dillmill-node/src/traffic.rs
+++ b/crates/dillmill-node/src/traffic.rs
@@ -85,13 +85,13 @@
             Message::Load(_) | Message::Flow(FlowMessage::AskLoad) => Self::Load,
             Message::Flow(
                 FlowMessage::Records { .. }
-                | FlowMessage::Recorded { .. }
+                | FlowMessage::RecordsAck { .. }
                 | FlowMessage::AskRecords { .. }
-                | FlowMessage::ToldAll { .. },
+                | FlowMessage::RecordsComplete { .. },
             ) => Self::Directory,
             Message::Flow(_) => Self::Owner,
             Message::Pull { .. } | Message::Changes(_) | Message::Evacuations(_) => Self::Settings,
-            Message::Ask { .. } | Message::Reply { .. } => Self::Claim,
+            Message::PeerRequest { .. } | Message::Reply { .. } => Self::Claim,
         }
     }
 }
--- a/crates/dillmill-settings/src/compiled.rs
+++ b/crates/dillmill-settings/src/compiled.rs
@@ -30,7 +30,7 @@
 }
 
 /// A line of an explanation: key, value, and where the value comes from.
-pub type Explained = (&'static str, String, Origin);
+pub type ExplainedValue = (&'static str, String, Origin);
 
 /// A checked tree.
 #[derive(Debug, Clone)]
@@ -138,13 +138,13 @@
 
     /// Returns the limits in force for `group` on `service` with their origins.
     #[must_use]
-    pub fn explain_limits(&self, group: &GroupName, service: &ServiceName) -> Vec<Explained> {
+    pub fn explain_limits(&self, group: &GroupName, service: &ServiceName) -> Vec<ExplainedValue> {
         ResolvedLimits::explain(&self.chain(group, service))
     }
 
     /// Returns the operation in force for `service` with its origins, or `None`.
     #[must_use]
-    pub fn explain_operation(&self, service: &ServiceName) -> Option<Vec<Explained>> {
+    pub fn explain_operation(&self, service: &ServiceName) -> Option<Vec<ExplainedValue>> {
         let found = self.services.get(service)?;
         let chain = [
             (NodePath::Service(service.clone()), &found.node.operation),
--- a/crates/dillmill-standins/src/flow_caller.rs
+++ b/crates/dillmill-standins/src/flow_caller.rs
@@ -10,7 +10,7 @@
 use compio::net::UdpSocket;
 use compio::runtime::JoinHandle;
 use dillmill_core::{FlowTuple, Segment, SegmentKind};
-use dillmill_platform::packet::{self, HEAD_LEN, Sender};
+use dillmill_platform::packet::{self, HEADER_LEN, Sender};
 
 use crate::StandinError;
 use crate::flow_router::FlowRouter;
@@ -110,7 +110,7 @@
         let Ok(seg) = packet::decode(&buf, Sender::Target) else { continue };
         if let Some(tx) = inboxes.borrow().get(&seg.flow) {
             // Fails only for a flow that is not waited for any more.
-            let _ = tx.send((seg, buf[HEAD_LEN..].to_vec()));
+            let _ = tx.send((seg, buf[HEADER_LEN..].to_vec()));
         }
     }
 }
--- a/crates/dillmill-standins/src/flow_fleet.rs
+++ b/crates/dillmill-standins/src/flow_fleet.rs
@@ -188,7 +188,7 @@
     ///
     /// Fails when the store does.
     pub async fn evacuate(&self, zone: &str, ordered: bool) -> Result<(), StandinError> {
-        let key = operator_key::evacuation(zone);
+        let key = operator_key::evacuation_key(zone);
         let done = if ordered {
             self.store.put(&key, b"{}".to_vec(), LeaseId::default()).await
         } else {
--- a/crates/dillmill-standins/src/flow_target.rs
+++ b/crates/dillmill-standins/src/flow_target.rs
@@ -177,7 +177,7 @@
             }
             (_, None) => {
                 self.given_back += 1;
-                packet::give_back(&mut buf);
+                packet::mark_returned(&mut buf);
                 Some(buf)
             }
             (SegmentKind::Accept, Some(_)) => None,
--- a/crates/dillmill-standins/src/platform.rs
+++ b/crates/dillmill-standins/src/platform.rs
@@ -12,8 +12,8 @@
 use axum::routing::{delete, get, post};
 use axum::{Json, Router};
 use dillmill_platform::store_protocol::{
-    COMMIT_PATH, Changes, Committed, Conflict, END_PATH, GRANT_PATH, GrantRequest, KEY_PATH,
-    KeyQuery, RANGE_PATH, RENEW_PATH, RangeQuery, WATCH_PATH, WatchQuery,
+    COMMIT_PATH, Changes, Committed, Conflict, GRANT_PATH, GrantRequest, KEY_PATH, KeyQuery,
+    RANGE_PATH, RENEW_PATH, REVOKE_PATH, RangeQuery, WATCH_PATH, WatchQuery,
 };
 use dillmill_platform::{Entry, Lease, LeaseId, Page, Transaction, Version};
 use serde::{Deserialize, Serialize};
@@ -149,7 +149,7 @@
         .route(COMMIT_PATH, post(commit))
         .route(GRANT_PATH, post(grant))
         .route(&format!("{RENEW_PATH}/{{id}}"), post(renew))
-        .route(&format!("{END_PATH}/{{id}}"), delete(end))
+        .route(&format!("{REVOKE_PATH}/{{id}}"), delete(end))
         .route("/standin/faults", get(faults).put(set_faults))
         .route("/standin/counts", get(counts))
         .with_state(Shared::default());
--- a/crates/dillmill-store/src/entries.rs
+++ b/crates/dillmill-store/src/entries.rs
@@ -73,7 +73,7 @@
             CommitOutcome::Conflict(entries) => {
                 Ok(CasOutcome::Conflict(entries.into_iter().find(|e| e.key == key && !e.removed)))
             }
-            CommitOutcome::LeaseGone => {
+            CommitOutcome::LeaseNotFound => {
                 Err(Report::new(self.store.error("write", "a lease that was not named is gone")))
             }
         }
@@ -90,7 +90,7 @@
             return self.look_up(key).await;
         }
         match self.store.watch(key, Version(seen), wait).await? {
-            WatchOutcome::HistoryGone => self.look_up(key).await,
+            WatchOutcome::HistoryCompacted => self.look_up(key).await,
             WatchOutcome::Changes(changes) => {
                 let found = changes.entries.into_iter().rev().find(|e| e.key == key && !e.removed);
                 self.note(found.as_ref(), changes.current);
--- a/crates/dillmill-wire/src/flow_message.rs
+++ b/crates/dillmill-wire/src/flow_message.rs
@@ -41,7 +41,7 @@
         records: Vec<FlowRecord>,
     },
     /// To an agent: its batch of records is here.
-    Recorded {
+    RecordsAck {
         /// Number of the batch.
         number: u32,
     },
@@ -51,7 +51,7 @@
         me: Box<Member>,
     },
     /// To a directory: all records that it is to remember have been sent.
-    ToldAll {
+    RecordsComplete {
         /// The sender.
         process: ProcessId,
     },
--- a/crates/dillmill-wire/src/lib.rs
+++ b/crates/dillmill-wire/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use flow_message::{FlowMessage, open_envelope, seal_envelope};
 pub use frame::{Frame, FrameError};
-pub use message::{Ask, KeptAnswer, Message, Reply};
+pub use message::{CachedResponse, Message, PeerRequest, Reply};
 pub use packet::{Destination, packet_destination};
 pub use seal::{ClusterKey, ClusterKeyError, SealError};
-pub use stream::{HandedRequest, ProcessStatus, StreamMessage};
+pub use stream::{ForwardedRequest, ProcessStatus, StreamMessage};
--- a/crates/dillmill-wire/src/message.rs
+++ b/crates/dillmill-wire/src/message.rs
@@ -30,7 +30,7 @@
     /// Consecutive changes of settings.
     Changes(Vec<Change>),
     /// A question between agents of a service.
-    Ask {
+    PeerRequest {
         /// Number that the reply repeats.
         id: u64,
         /// The process asked: another one at its address must not answer for it.
@@ -38,7 +38,7 @@
         /// The service.
         service: ServiceName,
         /// The question.
-        ask: Ask,
+        ask: PeerRequest,
     },
     /// The reply.
     Reply {
@@ -51,7 +51,7 @@
 
 /// A question between agents of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// May the sender dispatch this key?
     Claim {
         /// The key.
@@ -87,12 +87,12 @@
     /// A ring that may be newer than yours; yours is the reply.
     Ring(Ring),
     /// Records of another agent, each with its answer where that is short enough.
-    HandOver(Vec<(HandedRecord, Option<KeptAnswer>)>),
+    HandOver(Vec<(HandedRecord, Option<CachedResponse>)>),
 }
 
 /// An answer kept for resends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct CachedResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers.
@@ -104,13 +104,13 @@
 /// A reply between agents of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`Ask::Claim`].
+    /// To [`PeerRequest::Claim`].
     Claim(ClaimAnswer),
-    /// To [`Ask::Inquire`].
+    /// To [`PeerRequest::Inquire`].
     Inquiry(Inquiry),
-    /// To [`Ask::Copy`]: whether the epoch was the same.
+    /// To [`PeerRequest::Copy`]: whether the epoch was the same.
     Copied(bool),
-    /// To [`Ask::Ring`]: the ring in force at the asked agent.
+    /// To [`PeerRequest::Ring`]: the ring in force at the asked agent.
     Ring(Ring),
     /// Done.
     Done,
--- a/crates/dillmill-wire/src/stream.rs
+++ b/crates/dillmill-wire/src/stream.rs
@@ -10,7 +10,7 @@
 
 /// A request that an agent hands to a sibling.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedRequest {
+pub struct ForwardedRequest {
     /// The process meant: another one at its address must not run it.
     pub to: ProcessId,
     /// The service.
@@ -63,7 +63,7 @@
         me: Member,
     },
     /// Answers [`StreamMessage::Sync`].
-    Synced {
+    SyncReply {
         /// Records of buckets that differ.
         members: Vec<Member>,
         /// Changes that follow the asker's revision.
@@ -93,20 +93,20 @@
         events: Vec<Event>,
     },
     /// Hands a request over.
-    Request(Box<HandedRequest>),
+    Request(Box<ForwardedRequest>),
     /// Start of an answer.
-    AnswerHead {
+    ResponseHead {
         /// HTTP status.
         status: u16,
         /// Headers.
         headers: Vec<(String, Vec<u8>)>,
     },
     /// Part of an answer's body.
-    AnswerData(Vec<u8>),
+    ResponseData(Vec<u8>),
     /// The answer is whole.
-    AnswerEnd,
+    ResponseEnd,
     /// The answer will not be whole.
-    AnswerBroken,
+    ResponseAborted,
 }
 
 /// Describes a change of a member's standing for the time line.
