--- a/crates/dillmill-settings/examples/explain_values.rs
+++ b/crates/dillmill-settings/examples/explain_values.rs
@@ -1,4 +1,4 @@
-//! Shows where the values in force for a group on a service come from.
+//! Prints the effective limits of a group on a service, each with its origin.
 //!
 //! Run with `cargo run -p dillmill-settings --example explain_values`.
 
--- a/crates/dillmill-settings/src/change.rs
+++ b/crates/dillmill-settings/src/change.rs
@@ -1,4 +1,4 @@
-//! One accepted edit of the tree.
+//! Defines a change of one node, the unit in which accepted edits of the tree are logged.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,7 +8,8 @@
 
 use crate::NodePath;
 
-/// Drawn at random by the writer, so that a write whose answer was lost can be told from another's.
+/// Identifier that the writer of a change draws at random, so that a writer whose response was lost can
+/// distinguish its own write from another writer's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct WriteId(pub u64);
@@ -41,20 +42,20 @@
     }
 }
 
-/// A change of one node, with its place in the order of all changes.
+/// A change of one node, with its position in the sequence of all changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Place in the order; the tree's revision once this is in force.
+    /// Position in the sequence, which is the tree's revision once the change is applied.
     pub revision: Revision,
-    /// Names this write.
+    /// Identifier of the write.
     pub write_id: WriteId,
-    /// Who made it.
+    /// Author of the change.
     pub author: String,
-    /// When, by the author's clock.
+    /// Time of the change by the author's clock.
     pub at: Timestamp,
-    /// The node.
+    /// Path of the changed node.
     pub path: NodePath,
-    /// The node's new YAML text, or `None` to delete it.
+    /// New YAML text of the node, or `None` to delete the node.
     pub text: Option<String>,
 }
--- a/crates/dillmill-settings/src/check.rs
+++ b/crates/dillmill-settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole tree.
+//! Parses and validates a whole settings tree.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,16 +11,16 @@
 use crate::node::{GroupNode, LeafNode, RootNode, ServiceNode};
 use crate::{NodePath, Tree, yaml};
 
-/// Something wrong in a tree.
+/// A validation error in a tree.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The node.
+    /// Path of the node.
     pub path: NodePath,
-    /// Line in the node's text, from 1.
+    /// Line in the node's text, counted from 1, if known.
     pub line: Option<usize>,
-    /// Keys down to the value, joined by dots; may be empty.
+    /// Keys leading to the value, joined by dots; may be empty.
     pub key: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
 }
 
@@ -37,9 +37,9 @@
     }
 }
 
-/// The nodes of a tree, read.
+/// The parsed nodes of a tree, by kind.
 #[derive(Debug, Default)]
-pub(crate) struct Nodes {
+pub(crate) struct ParsedNodes {
     pub(crate) root: Option<RootNode>,
     pub(crate) services: BTreeMap<ServiceName, ServiceNode>,
     pub(crate) groups: BTreeMap<GroupName, GroupNode>,
@@ -52,7 +52,7 @@
 }
 
 impl Tree {
-    /// Reads and checks the whole tree.
+    /// Parses and validates the whole tree.
     ///
     /// # Errors
     ///
@@ -74,8 +74,8 @@
 }
 
 impl Checker<'_> {
-    fn read_all(&mut self) -> Nodes {
-        let mut nodes = Nodes::default();
+    fn read_all(&mut self) -> ParsedNodes {
+        let mut nodes = ParsedNodes::default();
         for path in self.tree.nodes.keys() {
             match path {
                 NodePath::Root => nodes.root = self.read(path),
@@ -111,7 +111,7 @@
         self.problems.push(Problem { path, line, key: key.to_owned(), message });
     }
 
-    fn check_ranges(&mut self, nodes: &Nodes) {
+    fn check_ranges(&mut self, nodes: &ParsedNodes) {
         if let Some(root) = &nodes.root {
             self.report_ranges(&NodePath::Root, "limits", root.limits.out_of_range());
             self.report_ranges(&NodePath::Root, "operation", root.operation.out_of_range());
@@ -137,7 +137,7 @@
         }
     }
 
-    fn check_root(&mut self, nodes: &Nodes) -> Option<FlowKeys> {
+    fn check_root(&mut self, nodes: &ParsedNodes) -> Option<FlowKeys> {
         if !self.tree.nodes.contains_key(&NodePath::Root) {
             self.report(NodePath::Root, "", "the tree has no root".to_owned());
         }
@@ -147,17 +147,17 @@
             .ok()
     }
 
-    fn check_services(&mut self, nodes: &Nodes) {
+    fn check_services(&mut self, nodes: &ParsedNodes) {
         let mut numbers = BTreeMap::new();
         let mut addresses = BTreeMap::new();
         for (name, service) in &nodes.services {
             let path = NodePath::Service(name.clone());
             if let Some(other) = numbers.insert(service.number, name) {
-                let message = format!("services/{other} has the number {} too", service.number);
+                let message = format!("{} is already used by services/{other}", service.number);
                 self.report(path.clone(), "number", message);
             }
             if let Some(other) = addresses.insert(service.address, name) {
-                let message = format!("services/{other} has the address {} too", service.address);
+                let message = format!("{} is already used by services/{other}", service.address);
                 self.report(path.clone(), "address", message);
             }
             if service.slots.0 == 0 {
@@ -167,15 +167,15 @@
                 self.report(path.clone(), "feeds", format!("`{feed}` does not start with /"));
             }
             if !service.tls.certificate.contains("-----BEGIN CERTIFICATE-----") {
-                self.report(path.clone(), "tls.certificate", "no PEM certificate".to_owned());
+                self.report(path.clone(), "tls.certificate", "not a PEM certificate".to_owned());
             }
             if !service.tls.key.reveal().contains("PRIVATE KEY-----") {
-                self.report(path, "tls.key", "no PEM private key".to_owned());
+                self.report(path, "tls.key", "not a PEM private key".to_owned());
             }
         }
     }
 
-    fn check_groups(&mut self, nodes: &Nodes) {
+    fn check_groups(&mut self, nodes: &ParsedNodes) {
         let mut tokens = BTreeMap::new();
         for (name, group) in &nodes.groups {
             for token in &group.tokens {
--- a/crates/dillmill-settings/src/compiled.rs
+++ b/crates/dillmill-settings/src/compiled.rs
@@ -1,38 +1,38 @@
-//! A checked tree, ready for look-ups.
+//! A validated settings tree, indexed for lookups at run time.
 
 use std::collections::{BTreeMap, HashMap};
 
 use dillmill_core::{FlowKeys, GroupName, Revision, ServiceName, ServiceNumber};
 
 use crate::NodePath;
-use crate::check::Nodes;
+use crate::check::ParsedNodes;
 use crate::inherit::{Limits, Operation, Origin, ResolvedLimits, ResolvedOperation};
 use crate::node::{GroupNode, LeafNode, RootNode, ServiceNode, TokenHash};
 
-/// A service and what is in force for it.
+/// A service with its effective operation settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
     /// Name.
     pub name: ServiceName,
-    /// Its node.
+    /// Node of the service.
     pub node: ServiceNode,
-    /// Operation in force.
+    /// Effective operation settings, with inherited values.
     pub operation: ResolvedOperation,
 }
 
-/// A group and its node.
+/// A group with its node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
     /// Name.
     pub name: GroupName,
-    /// Its node.
+    /// Node of the group.
     pub node: GroupNode,
 }
 
-/// A line of an explanation: key, value, and where the value comes from.
+/// An effective value with its explanation: key, value as text, and origin.
 pub type ExplainedValue = (&'static str, String, Origin);
 
-/// A checked tree.
+/// A validated tree.
 #[derive(Debug, Clone)]
 pub struct CompiledTree {
     revision: Revision,
@@ -45,7 +45,7 @@
 }
 
 impl CompiledTree {
-    pub(crate) fn new(revision: Revision, flow_keys: FlowKeys, nodes: Nodes) -> Self {
+    pub(crate) fn new(revision: Revision, flow_keys: FlowKeys, nodes: ParsedNodes) -> Self {
         let root = nodes.root.unwrap_or_else(|| RootNode {
             flow_keys: Vec::new(),
             limits: Limits::default(),
@@ -75,7 +75,7 @@
         self.revision
     }
 
-    /// Returns the keys of connection ids.
+    /// Returns the keys that seal and open connection ids.
     #[must_use]
     pub fn flow_keys(&self) -> &FlowKeys {
         &self.flow_keys
@@ -91,13 +91,13 @@
         self.groups.values()
     }
 
-    /// Returns the service of this name.
+    /// Returns the service with the given name.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Returns the service of this number.
+    /// Returns the service with the given number.
     #[must_use]
     pub fn service_by_number(&self, number: ServiceNumber) -> Option<&Service> {
         self.services.values().find(|service| service.node.number == number)
@@ -128,7 +128,7 @@
         chain
     }
 
-    /// Returns the limits in force for `group` on `service`.
+    /// Returns the effective limits for `group` on `service`.
     #[must_use]
     pub fn limits(&self, group: &GroupName, service: &ServiceName) -> ResolvedLimits {
         let chain: Vec<&Limits> =
@@ -136,13 +136,14 @@
         ResolvedLimits::resolve(&chain)
     }
 
-    /// Returns the limits in force for `group` on `service` with their origins.
+    /// Returns the effective limits for `group` on `service` with their origins.
     #[must_use]
     pub fn explain_limits(&self, group: &GroupName, service: &ServiceName) -> Vec<ExplainedValue> {
         ResolvedLimits::explain(&self.chain(group, service))
     }
 
-    /// Returns the operation in force for `service` with its origins, or `None`.
+    /// Returns the effective operation settings of `service` with their origins, or `None` for an
+    /// unknown service.
     #[must_use]
     pub fn explain_operation(&self, service: &ServiceName) -> Option<Vec<ExplainedValue>> {
         let found = self.services.get(service)?;
--- a/crates/dillmill-settings/src/inherit.rs
+++ b/crates/dillmill-settings/src/inherit.rs
@@ -1,4 +1,4 @@
-//! Values that a node inherits unless it gives them.
+//! Settings that a node inherits unless it sets them: their defaults, permitted ranges and resolution.
 
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -9,12 +9,12 @@
 
 use crate::NodePath;
 
-/// Where a value in force comes from.
+/// Origin of an effective value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Origin {
-    /// A node of the tree.
+    /// The value is set by a node of the tree.
     Node(NodePath),
-    /// The built-in default.
+    /// The value is the built-in default.
     Default,
 }
 
@@ -27,12 +27,12 @@
     }
 }
 
-/// A value out of its range, with the key that gave it.
+/// A value outside its permitted range, with the key that set it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutOfRange {
-    /// Key below the section.
+    /// Key of the value within its section.
     pub key: &'static str,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
 }
 
@@ -56,7 +56,7 @@
         }
 
         impl $given {
-            /// Returns the values that are out of range.
+            /// Returns the values that are outside their permitted ranges.
             #[must_use]
             pub fn out_of_range(&self) -> Vec<OutOfRange> {
                 let mut found = Vec::new();
@@ -79,7 +79,7 @@
         }
 
         impl $resolved {
-            /// Takes each value from the first of `chain` that gives it.
+            /// Resolves each value from the first element of `chain` that sets it, or from the default.
             #[must_use]
             pub fn resolve(chain: &[&$given]) -> Self {
                 Self {
@@ -90,7 +90,7 @@
                 }
             }
 
-            /// Returns each value as text with the place that it comes from.
+            /// Returns each effective value as text, with its key and origin.
             #[must_use]
             pub fn explain(chain: &[(NodePath, &$given)]) -> Vec<(&'static str, String, Origin)> {
                 vec![$({
@@ -116,7 +116,7 @@
     Interval::from_millis(n * 1000)
 }
 
-/// How the agent for a request is chosen, as operators write it.
+/// Policy that selects the agent for a request, in the notation of the settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Placement(pub Policy);
@@ -133,37 +133,37 @@
 }
 
 inherited! {
-    /// Limits that a node gives for a group's requests.
+    /// Limits that a node sets for the requests of groups.
     Limits ->
-    /// The limits in force for a group on a service.
+    /// Effective limits for a group on a service.
     ResolvedLimits {
-        /// Share of the group against other groups.
+        /// Scheduling weight of the group relative to other groups.
         weight: Weight = Weight(10), Some(Weight(1)..=Weight(1000));
-        /// Requests of the group that may wait at one target.
+        /// Maximum number of the group's requests that wait at one target.
         max_queue: u16 = 64, Some(0..=10_000);
-        /// Longest wait for a slot.
+        /// Maximum wait for a slot.
         max_wait: Interval = seconds(2), Some(Interval::from_millis(1)..=seconds(600));
-        /// Time for a request whose caller gives no deadline, and the longest that a caller gets.
+        /// Deadline of requests whose caller sets none, and upper bound of the deadlines that callers set.
         deadline: Interval = seconds(10), Some(Interval::from_millis(10)..=seconds(3600));
-        /// Largest request body, in bytes.
+        /// Maximum size of a request body, in bytes.
         max_body: u32 = 8 * 1024 * 1024, Some(0..=256 * 1024 * 1024);
     }
 }
 
 inherited! {
-    /// How a service is operated, as a node gives it.
+    /// Operation settings of a service that a node sets.
     Operation ->
-    /// How a service is operated.
+    /// Effective operation settings of a service.
     ResolvedOperation {
-        /// How the target for a request is chosen.
+        /// Policy that selects the target for a request.
         placement: Placement = Placement::default(), None;
-        /// Retries allowed, as a share of first tries.
+        /// Retry budget, as a percentage of first attempts.
         retry_share: Percent = Percent(10), Some(Percent(0)..=Percent(100));
-        /// How long an idempotency key is remembered.
+        /// Retention time of idempotency keys.
         claim_window: Interval = seconds(600), Some(seconds(1)..=seconds(86_400));
-        /// Time over which a target that has started gets its full number of slots.
+        /// Time after its start over which a target is ramped up to its full number of slots.
         warm_up: Interval = seconds(5), Some(Interval::from_millis(0)..=seconds(600));
-        /// Longest time that a planned stop waits for flows and requests.
+        /// Maximum time that a planned stop waits for open flows and requests.
         drain: Interval = seconds(60), Some(Interval::from_millis(0)..=seconds(86_400));
     }
 }
--- a/crates/dillmill-settings/src/lib.rs
+++ b/crates/dillmill-settings/src/lib.rs
@@ -1,15 +1,17 @@
-//! The tree of settings: its form, its checks and what follows from it.
+//! Settings trees: data model, validation, inheritance and versioning.
 //!
-//! [`RouteTree`] is the form for packet flows, which the users' platform keeps: a root, a branch for
-//! each service, a leaf for each route, replaced as a whole at each revision.
+//! [`RouteTree`] holds the settings of packet flows, which the users' platform stores: a root, a branch
+//! for each service and a leaf for each route. Each revision replaces the whole tree.
 //!
-//! The tree of HTTP/3 services has a root, a branch for each service and each group, and a leaf for a
-//! group on one service. A value that a node does not give comes from the next node up:
-//! `groups/G/S`, then `groups/G`, then `services/S`, then `root`, then the built-in default.
+//! [`Tree`] holds the settings of HTTP/3 services: a root, a branch for each service and each group, and
+//! a leaf for each combination of a group and a service. A value that a node does not set is inherited
+//! from the next level: `groups/G/S`, then `groups/G`, then `services/S`, then `root`, then the built-in
+//! default.
 //!
-//! Every accepted edit is a [`Change`] with the next [`Revision`](dillmill_core::Revision). A tree
-//! takes change n + 1 only after change n, so no process goes back and all pass through the same
-//! states. Operators' edits and processes use the same code, [`Tree::check`].
+//! Every accepted edit is a [`Change`] with the next [`Revision`](dillmill_core::Revision). A tree applies
+//! change n + 1 only after change n, so no process reverts to an older state and all processes go through
+//! the same sequence of states. Operators' edits and running processes are validated by the same code,
+//! [`Tree::check`].
 
 pub mod change;
 pub mod check;
--- a/crates/dillmill-settings/src/node.rs
+++ b/crates/dillmill-settings/src/node.rs
@@ -1,4 +1,4 @@
-//! The content of each kind of node.
+//! Contents of the nodes of a settings tree, one type for each kind of node.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -14,12 +14,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RootNode {
-    /// Keys of connection ids; the first seals new ones, all open old ones.
+    /// Keys of connection ids: the first one seals new ids, and any of them opens existing ids.
     pub flow_keys: Vec<FlowKey>,
-    /// Limits for all.
+    /// Limits for all groups on all services.
     #[serde(default)]
     pub limits: Limits,
-    /// Operation of all services.
+    /// Operation settings of all services.
     #[serde(default)]
     pub operation: Operation,
 }
@@ -28,26 +28,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceNode {
-    /// Number inside connection ids; it never changes and is never used again.
+    /// Number that identifies the service in connection ids; it must never change or be reused.
     pub number: ServiceNumber,
-    /// Address that callers use.
+    /// Address to which callers connect.
     pub address: SocketAddrV4,
-    /// Requests that one target runs at once.
+    /// Number of requests that one target runs concurrently.
     pub slots: Slots,
-    /// Path prefixes of long feeds, which take a connection and no slot.
+    /// Path prefixes of long-lived feeds, which occupy a connection but no slot.
     #[serde(default)]
     pub feeds: Vec<String>,
-    /// Certificate and key towards callers.
+    /// Certificate and key that are presented to callers.
     pub tls: Tls,
     /// Limits for all groups on this service.
     #[serde(default)]
     pub limits: Limits,
-    /// Operation of this service.
+    /// Operation settings of this service.
     #[serde(default)]
     pub operation: Operation,
 }
 
-/// What an agent needs to end TLS.
+/// Credentials with which an agent terminates TLS.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
@@ -78,7 +78,7 @@
     pub limits: Limits,
 }
 
-/// SHA-256 of a bearer token: the tree does not hold the token itself.
+/// SHA-256 hash of a bearer token, as the tree does not store the token itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TokenHash([u8; 32]);
@@ -97,9 +97,9 @@
     }
 }
 
-/// The text is not 64 hexadecimal digits.
+/// Error for a text that is not 64 hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("`{0}` is not a SHA-256 in 64 hexadecimal digits")]
+#[error("`{0}` is not a SHA-256 hash of 64 hexadecimal digits")]
 pub struct TokenHashError(String);
 
 impl TryFrom<String> for TokenHash {
--- a/crates/dillmill-settings/src/node_path.rs
+++ b/crates/dillmill-settings/src/node_path.rs
@@ -1,4 +1,4 @@
-//! Places in the tree.
+//! Paths that identify the nodes of a settings tree.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use dillmill_core::{GroupName, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// Place of a node: `root`, `services/S`, `groups/G` or `groups/G/S`.
+/// Path of a node: `root`, `services/S`, `groups/G` or `groups/G/S`.
 ///
 /// ```
 /// use dillmill_settings::NodePath;
@@ -19,19 +19,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum NodePath {
-    /// The whole installation.
+    /// Settings of the whole installation.
     Root,
-    /// A service.
+    /// Settings of a service.
     Service(ServiceName),
-    /// A group.
+    /// Settings of a group.
     Group(GroupName),
-    /// A group on one service.
+    /// Settings of a group on one service.
     Leaf(GroupName, ServiceName),
 }
 
-/// Why a path was refused.
+/// Error for a text that is not a node path.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("`{0}` is no place in the tree: write root, services/S, groups/G or groups/G/S")]
+#[error("`{0}` is no place in the tree: expected root, services/S, groups/G or groups/G/S")]
 pub struct NodePathError(String);
 
 impl fmt::Display for NodePath {
--- a/crates/dillmill-settings/src/route_tree.rs
+++ b/crates/dillmill-settings/src/route_tree.rs
@@ -1,4 +1,4 @@
-//! The tree of settings of packet flows: a root, a branch for each service, a leaf for each route.
+//! Settings tree of packet flows, with a root, a branch for each service and a leaf for each route.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -11,9 +11,9 @@
 pub struct RouteService {
     /// Name.
     pub name: ServiceName,
-    /// Path under which its targets tell their health, over HTTP/1.1.
+    /// HTTP/1.1 path of the health check of the service's targets.
     pub health_path: Option<String>,
-    /// Requests a second that a target carries which has only just started, if that is told.
+    /// Requests per second that a freshly started target can serve, if specified.
     pub cold_rate: Option<u32>,
 }
 
@@ -22,30 +22,30 @@
 pub struct Route {
     /// Name.
     pub name: String,
-    /// Address that callers use.
+    /// Address to which callers send.
     pub address: SocketAddrV4,
     /// Services with their shares of new flows.
     pub shares: Vec<(ServiceName, Weight)>,
-    /// Callers may repeat a request after any failure.
+    /// Whether callers may retry a request after any failure.
     pub repeatable: bool,
-    /// Time for a request on the route.
+    /// Timeout of a request on the route.
     pub timeout: Option<Interval>,
-    /// Time within which an answer is of full use.
+    /// Target latency, within which a response has its full value.
     pub latency_aim: Option<Interval>,
 }
 
-/// Why a tree can't be put in force.
+/// Reason why a route tree is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RouteTreeError {
-    /// A route without any service.
+    /// A route has no service.
     #[error("route `{0}` has no service")]
     NoService(String),
-    /// Two services with one tag.
+    /// Two services have the same tag.
     #[error("services `{0}` and `{1}` have the same tag: rename one")]
     SameTag(ServiceName, ServiceName),
 }
 
-/// A whole tree of one revision.
+/// The whole route tree at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTree {
     revision: Revision,
@@ -55,11 +55,11 @@
 }
 
 impl RouteTree {
-    /// Creates and checks a tree.
+    /// Creates and validates a tree.
     ///
     /// # Errors
     ///
-    /// Names the route or the services that are wrong.
+    /// Returns an error that names the invalid route or services.
     pub fn new(
         revision: Revision,
         idle_timeout: Interval,
@@ -87,7 +87,7 @@
         self.revision
     }
 
-    /// Returns the time after which a resting flow may be forgotten: the root's, for all routes.
+    /// Returns the time after which an idle flow may be dropped; the root sets it for all routes.
     #[must_use]
     pub fn idle_timeout(&self) -> Interval {
         Interval::from_millis(self.idle_timeout_ms)
@@ -99,13 +99,13 @@
         self.services.iter().find(|s| s.name == *name)
     }
 
-    /// Returns the leaves.
+    /// Returns the routes, which are the leaves of the tree.
     #[must_use]
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// Returns the routes, ready for look-ups.
+    /// Returns a table of the routes for lookups by address.
     #[must_use]
     pub fn table(&self) -> RouteTable {
         let entry = |route: &Route| {
--- a/crates/dillmill-settings/src/tree.rs
+++ b/crates/dillmill-settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree as text, with the revision of each node.
+//! The settings tree of HTTP/3 services as YAML texts, with the revision of each node.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,31 @@
 
 use crate::{Change, NodePath};
 
-/// Text of a node and the revision that last changed it.
+/// Text of a node, with the revision that last changed it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Revision of the last change; what an operator's edit is compared with.
+    /// Revision of the last change, against which an operator's edit is compared to detect conflicts.
     pub revision: Revision,
-    /// YAML as the operator wrote it.
+    /// YAML text as the operator wrote it.
     pub text: String,
 }
 
-/// A state of the tree; also the form of a snapshot.
+/// The tree at one revision; snapshots are stored in this form.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tree {
-    /// Number of the last change taken in.
+    /// Revision of the last change applied.
     pub revision: Revision,
-    /// All nodes.
+    /// All nodes, by path.
     pub nodes: BTreeMap<NodePath, Node>,
 }
 
-/// Why a change was not taken in.
+/// Reason why a change was not applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// The change is not the next one.
-    #[error("change {change} does not follow revision {tree}")]
+    /// The revision of the change does not directly follow that of the tree.
+    #[error("change {change} does not directly follow revision {tree}")]
     NotNext {
         /// Revision of the tree.
         tree: Revision,
@@ -41,11 +41,12 @@
 }
 
 impl Tree {
-    /// Takes in the next change.
+    /// Applies the next change.
     ///
     /// # Errors
     ///
-    /// Refuses a change that is not the next one, so a tree never goes back or skips.
+    /// Rejects a change that is not the next one, so a tree never reverts to an older state or
+    /// skips a change.
     pub fn apply(&mut self, change: &Change) -> Result<(), ApplyError> {
         if change.revision != self.revision.next() {
             return Err(ApplyError::NotNext { tree: self.revision, change: change.revision });
@@ -63,7 +64,8 @@
         Ok(())
     }
 
-    /// Returns the tree as it would be after `change`, numbered as the next one.
+    /// Returns the tree as it would be with the node at `path` set to `text`, or deleted for
+    /// `None`, and with the next revision.
     #[must_use]
     pub fn with(&self, path: NodePath, text: Option<String>) -> Self {
         let mut next = self.clone();
@@ -79,13 +81,13 @@
         next
     }
 
-    /// Returns the revision that last changed the node, or revision 0 if there is none.
+    /// Returns the revision that last changed the node, or revision 0 if the node does not exist.
     #[must_use]
     pub fn node_revision(&self, path: &NodePath) -> Revision {
         self.nodes.get(path).map_or(Revision(0), |node| node.revision)
     }
 
-    /// Returns the differences to `other`, node by node, as a unified diff.
+    /// Returns the differences from this tree to `other` as unified diffs, one for each node.
     #[must_use]
     pub fn diff(&self, other: &Self) -> String {
         let mut out = String::new();
@@ -102,7 +104,7 @@
     }
 }
 
-/// Returns a unified diff of two texts of a node.
+/// Returns the unified diff between two texts of a node.
 #[must_use]
 pub fn unified_diff(path: &NodePath, before: &str, after: &str) -> String {
     similar::TextDiff::from_lines(before, after)
--- a/crates/dillmill-settings/src/yaml.rs
+++ b/crates/dillmill-settings/src/yaml.rs
@@ -1,23 +1,23 @@
-//! YAML in, with the line and the key of whatever is wrong.
+//! Parses YAML and reports errors with their line and key.
 
 use serde::de::DeserializeOwned;
 
-/// What is wrong with a YAML text and where.
+/// A parse error, with its location in the YAML text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct YamlError {
-    /// Line, from 1; `None` if it is not known.
+    /// Line, counted from 1; `None` if it is not known.
     pub line: Option<usize>,
-    /// Keys down to the wrong value, joined by dots.
+    /// Keys leading to the invalid value, joined by dots.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
-/// Reads `text` as a `T`.
+/// Parses `text` as a `T`.
 ///
 /// # Errors
 ///
-/// Names the line and the key of the first thing that is wrong.
+/// Returns the first error, with its line and key.
 pub fn read<T: DeserializeOwned>(text: &str) -> Result<T, YamlError> {
     let document = serde_norway::Deserializer::from_str(text);
     serde_path_to_error::deserialize(document).map_err(|e| {
@@ -32,7 +32,7 @@
     })
 }
 
-/// Finds the line, from 1, of a key given as `a.b.c`.
+/// Returns the line, counted from 1, of a key given as `a.b.c`.
 #[must_use]
 pub fn line_of(text: &str, key: &str) -> Option<usize> {
     let mut parts = key.split('.').filter(|part| !part.starts_with('['));
--- a/crates/dillmill-settings/tests/tree_rules.rs
+++ b/crates/dillmill-settings/tests/tree_rules.rs
@@ -1,4 +1,4 @@
-//! What a tree accepts, and what follows from it.
+//! Tests the validation of trees, the inheritance of values and the order of changes.
 
 use dillmill_core::{Revision, Timestamp, Weight};
 use dillmill_settings::{Change, NodePath, Origin, TokenHash, Tree, WriteId};
@@ -86,7 +86,7 @@
     assert!(problems(&good().with(path("root"), None))[0].contains("no root"));
 }
 
-/// Nearest first: leaf, group, service, root, default.
+/// Values are inherited from the nearest level that sets them: leaf, group, service, root, then default.
 #[rstest]
 #[case(&[], 10, "default")]
 #[case(&["root"], 1, "root")]
@@ -127,12 +127,12 @@
     }
 }
 
-/// A tree never goes back and never skips a change.
+/// A tree never reverts to an older state and never skips a change.
 #[rstest]
 #[case::again(1)]
 #[case::skipped(3)]
 #[case::old(0)]
-fn only_next_change_taken(#[case] revision: u64) {
+fn only_next_change_applied(#[case] revision: u64) {
     let mut tree = Tree::default();
     tree.apply(&change(1, "a")).unwrap();
     assert!(tree.apply(&change(revision, "b")).is_err());
--- a/crates/dillmill-store/src/entries.rs
+++ b/crates/dillmill-store/src/entries.rs
@@ -1,4 +1,4 @@
-//! Single entries of the store: read, compare and swap, wait for.
+//! Reads single entries of the store, updates them by compare-and-swap, and waits for them to appear.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,31 +12,31 @@
 
 type Result<T> = std::result::Result<T, Report<PlatformError>>;
 
-/// Outcome of a compare-and-swap whose answer came.
+/// Outcome of a compare-and-swap to which the store responded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CasOutcome {
-    /// Written, with the new version.
+    /// The entry was written and has this new version.
     Written(Version),
-    /// Not written; what is there instead, if anything.
+    /// The entry was not written; holds the current entry, if there is one.
     Conflict(Option<Entry>),
 }
 
-/// Reads, writes and waits for single entries.
+/// Access to single entries of the store.
 #[derive(Debug, Clone)]
 pub struct Entries {
     store: Store,
-    /// Version up to which the changes of waited-for entries are known.
+    /// Version up to which the changes to awaited entries are known; the next watch continues from it.
     seen: Arc<AtomicU64>,
 }
 
 impl Entries {
-    /// Creates a view of `store`.
+    /// Creates the access to the entries of `store`.
     #[must_use]
     pub fn new(store: Store) -> Self {
         Self { store, seen: Arc::default() }
     }
 
-    /// Returns the store.
+    /// Returns the client of the store.
     #[must_use]
     pub fn store(&self) -> &Store {
         &self.store
@@ -55,7 +55,7 @@
         Ok(found)
     }
 
-    /// Writes `value` if the entry has version `expect`.
+    /// Writes `value` if the entry has version `expect`; version 0 means that there is no entry.
     ///
     /// # Errors
     ///
@@ -73,13 +73,13 @@
             CommitOutcome::Conflict(entries) => {
                 Ok(CasOutcome::Conflict(entries.into_iter().find(|e| e.key == key && !e.removed)))
             }
-            CommitOutcome::LeaseNotFound => {
-                Err(Report::new(self.store.error("write", "a lease that was not named is gone")))
-            }
+            CommitOutcome::LeaseNotFound => Err(Report::new(
+                self.store.error("write", "missing lease reported for a write without a lease"),
+            )),
         }
     }
 
-    /// Waits up to `wait` until there is an entry of `key`.
+    /// Waits up to `wait` for an entry of `key` to exist.
     ///
     /// # Errors
     ///
@@ -87,30 +87,31 @@
     pub async fn wait_for(&self, key: &str, wait: Duration) -> Result<Option<Entry>> {
         let seen = self.seen.load(Ordering::Relaxed);
         if seen == 0 {
-            return self.look_up(key).await;
+            return self.read_current(key).await;
         }
         match self.store.watch(key, Version(seen), wait).await? {
-            WatchOutcome::HistoryCompacted => self.look_up(key).await,
+            WatchOutcome::HistoryCompacted => self.read_current(key).await,
             WatchOutcome::Changes(changes) => {
                 let found = changes.entries.into_iter().rev().find(|e| e.key == key && !e.removed);
-                self.note(found.as_ref(), changes.current);
+                self.advance_seen(found.as_ref(), changes.current);
                 Ok(found)
             }
         }
     }
 
-    /// Notes up to which version changes are known: the entry that is waited for next may have been written between
-    /// the one `found` and the store's `current` version.
-    fn note(&self, found: Option<&Entry>, current: Version) {
+    /// Advances the version up to which changes are known. If an entry was `found`, this is the
+    /// entry's version and not the store's `current` one, as the entry awaited next may have been
+    /// written between the two.
+    fn advance_seen(&self, found: Option<&Entry>, current: Version) {
         let known = found.map_or(current, |entry| entry.version);
         self.seen.fetch_max(known.0, Ordering::Relaxed);
     }
 
-    /// Reads the entry and the version from which a watch can go on.
-    async fn look_up(&self, key: &str) -> Result<Option<Entry>> {
+    /// Reads the entry and sets the version from which the next watch continues.
+    async fn read_current(&self, key: &str) -> Result<Option<Entry>> {
         let page = self.store.list(key, "", Freshness::Newest).await?;
         let found = page.entries.into_iter().find(|e| e.key == key);
-        self.note(found.as_ref(), page.current);
+        self.advance_seen(found.as_ref(), page.current);
         Ok(found)
     }
 }
--- a/crates/dillmill-store/src/lib.rs
+++ b/crates/dillmill-store/src/lib.rs
@@ -1,7 +1,7 @@
-//! What dillmill keeps in the platform's store for HTTP/3 services.
+//! Persistence of dillmill's state for HTTP/3 services in the platform's store.
 //!
-//! [`SettingsStore`] keeps the log of settings changes, [`RingStore`] the rings of the services. Both
-//! are built on single entries that are read, watched and compared with ([`entries`]).
+//! [`SettingsStore`] stores the log of settings changes, [`RingStore`] the rings of the services. Both
+//! use single entries that are read, watched and updated by compare-and-swap ([`entries`]).
 
 pub mod entries;
 pub mod ring_store;
--- a/crates/dillmill-store/src/ring_store.rs
+++ b/crates/dillmill-store/src/ring_store.rs
@@ -1,4 +1,4 @@
-//! The rings of the services in the platform.
+//! Stores the ring of each service in the platform's store.
 
 use dillmill_core::ServiceName;
 use dillmill_core::claims::Ring;
@@ -22,11 +22,11 @@
         Self { entries: Entries::new(store), key: format!("rings/{service}") }
     }
 
-    /// Reads the ring; one that was never written is empty, with epoch 0.
+    /// Reads the ring; a ring that was never written is empty and has epoch 0.
     ///
     /// # Errors
     ///
-    /// Fails when the platform does, or the entry is no ring.
+    /// Returns an error if the platform fails or the entry does not hold a ring.
     pub async fn get(&self) -> Result<(Ring, Version), Report<PlatformError>> {
         match self.entries.get(&self.key).await? {
             None => Ok((Ring::default(), Version(0))),
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Changes the ring; `change` returns `None` when there is nothing to change.
+    /// Updates the ring with `change`, which returns `None` if there is nothing to change.
     ///
-    /// Returns the ring that is then in the platform, and whether this call changed it. Another
-    /// writer may have been faster; then nothing is changed and the caller tries again.
+    /// Returns the ring that is then in the store, and whether this call changed it. If another writer
+    /// changed the ring first, this call changes nothing and the caller has to retry.
     ///
     /// # Errors
     ///
@@ -49,7 +49,7 @@
         let (ring, version) = self.get().await?;
         let Some(next) = change(&ring) else { return Ok((ring, false)) };
         let value = serde_json::to_string(&next)
-            .change_context_lazy(|| self.error("encode ring", "no JSON"))?;
+            .change_context_lazy(|| self.error("encode ring", "not representable as JSON"))?;
         match self.entries.put(&self.key, &value, version).await? {
             CasOutcome::Written(_) => Ok((next, true)),
             CasOutcome::Conflict(Some(entry)) => Ok((self.decode(&entry.value)?, false)),
@@ -58,7 +58,8 @@
     }
 
     fn decode(&self, value: &[u8]) -> Result<Ring, Report<PlatformError>> {
-        serde_json::from_slice(value).change_context_lazy(|| self.error("decode ring", "no ring"))
+        serde_json::from_slice(value)
+            .change_context_lazy(|| self.error("decode ring", "entry does not hold a ring"))
     }
 
     fn error(&self, step: &'static str, what: &str) -> PlatformError {
--- a/crates/dillmill-store/src/settings_store.rs
+++ b/crates/dillmill-store/src/settings_store.rs
@@ -1,9 +1,10 @@
-//! The log of settings changes in the platform.
+//! Stores the log of settings changes in the platform's store.
 //!
-//! Change n is the entry `settings/log/n`, which is created once and never written again. Whoever
-//! creates the entry for the next number has its edit accepted; of two operators one wins. The
-//! entry holds the write's own id, so a writer whose answer was lost reads the entry back and knows.
-//! `settings/snapshot` holds a whole tree now and then, for newcomers.
+//! Change n is the entry `settings/log/n`, which is created once and never overwritten. An edit is
+//! accepted by creating the entry with the next number, so only one of two concurrent edits succeeds.
+//! The entry holds the id of the write, so a writer whose response was lost can read the entry back to
+//! learn whether its edit was accepted. `settings/snapshot` holds a periodic snapshot of the whole tree,
+//! so that new processes read fewer changes.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
 use crate::{CasOutcome, Entries};
 
 const SNAPSHOT_KEY: &str = "settings/snapshot";
-/// Changes between two snapshots.
+/// Number of changes between two snapshots.
 pub const SNAPSHOT_EVERY: u64 = 64;
 const WRITE_ATTEMPTS: usize = 20;
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -25,62 +26,63 @@
     format!("settings/log/{:012}", revision.0)
 }
 
-/// Reads and writes the tree in the platform.
+/// Reads and writes the settings tree in the platform's store.
 #[derive(Debug, Clone)]
 pub struct SettingsStore {
     entries: Entries,
 }
 
-/// Why an edit was not accepted; nothing was written.
+/// Reason why an edit was not accepted. Nothing was written, except that after
+/// [`WriteError::Platform`] the outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum WriteError {
-    /// The tree would be wrong.
-    #[error("the edit is refused; nothing was written:\n{}", list(.0))]
+    /// The edit would make the tree invalid.
+    #[error("the edit is refused; nothing was written:\n{}", format_problems(.0))]
     Invalid(Vec<Problem>),
-    /// Someone else changed the node since the operator read it.
+    /// Another author changed the node after the operator read it.
     #[error(
         "{path} was changed by {author} at revision {revision} after you read it; \
          nothing was written:\n{diff}"
     )]
     Conflict {
-        /// The node.
+        /// Path of the node.
         path: NodePath,
-        /// Who changed it.
+        /// Author of the other change.
         author: String,
-        /// When in the order of changes.
+        /// Revision of the other change.
         revision: Revision,
-        /// What they changed.
+        /// Unified diff from the text of this edit to the current text of the node.
         diff: String,
     },
-    /// The platform failed.
-    #[error("the platform failed; whether the edit was accepted is not known")]
+    /// A call to the platform failed.
+    #[error("the platform failed; it is unknown whether the edit was accepted")]
     Platform,
-    /// Others were faster again and again.
-    #[error("others kept writing; nothing was written, try again")]
+    /// Other writers were faster in every attempt.
+    #[error("other writers were faster in every attempt; nothing was written, try again")]
     Busy,
 }
 
-fn list(problems: &[Problem]) -> String {
+fn format_problems(problems: &[Problem]) -> String {
     problems.iter().map(|p| format!("  {p}")).collect::<Vec<_>>().join("\n")
 }
 
 /// An operator's edit.
 #[derive(Debug, Clone)]
 pub struct Edit {
-    /// Who makes it.
+    /// Author of the edit.
     pub author: String,
-    /// The node.
+    /// Path of the node.
     pub path: NodePath,
-    /// The node's new text, or `None` to delete it.
+    /// New text of the node, or `None` to delete the node.
     pub text: Option<String>,
-    /// Revision of the node that the operator saw; 0 for a node that was not there.
+    /// Revision of the node on which the operator based the edit; 0 if the node did not exist.
     pub seen: Revision,
-    /// Names the write.
+    /// Identifier of the write.
     pub write_id: WriteId,
 }
 
 impl SettingsStore {
-    /// Creates a view of the settings in `store`.
+    /// Creates the access to the settings in `store`.
     #[must_use]
     pub fn new(store: Store) -> Self {
         Self { entries: Entries::new(store) }
@@ -90,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform does, or the entry is no change.
+    /// Returns an error if the platform fails or the entry does not hold a change.
     pub async fn change(
         &self,
         revision: Revision,
@@ -123,11 +125,11 @@
         })
     }
 
-    /// Brings `tree` up to the newest revision.
+    /// Updates `tree` to the newest revision.
     ///
     /// # Errors
     ///
-    /// As [`SettingsStore::change`]; `tree` holds what was read until then.
+    /// As [`SettingsStore::change`]; `tree` then includes the changes that were read before the failure.
     pub async fn catch_up(&self, tree: &mut Tree) -> Result<(), Report<PlatformError>> {
         if tree.revision == Revision(0)
             && let Some(entry) = self.entries.get(SNAPSHOT_KEY).await?
@@ -153,13 +155,13 @@
         Ok(tree)
     }
 
-    /// Checks an edit against the newest tree and has it accepted.
+    /// Validates an edit against the newest tree and writes it to the log.
     ///
     /// # Errors
     ///
-    /// Refuses an edit that makes the tree wrong, or whose node someone else has changed since the
-    /// operator read it. On [`WriteError::Platform`] the outcome is not known; the same edit with
-    /// the same write id may be given again and is accepted once.
+    /// Rejects an edit that makes the tree invalid, or whose node another author has changed since the
+    /// operator read it. On [`WriteError::Platform`] the outcome is unknown; the same edit may be submitted
+    /// again with the same write id and is accepted only once.
     pub async fn write(&self, edit: &Edit, now: Timestamp) -> Result<Revision, Report<WriteError>> {
         let mut tree = Tree::default();
         let mut last_error = None;
@@ -185,7 +187,7 @@
         tree: &mut Tree,
         now: Timestamp,
     ) -> Result<Option<Revision>, Report<WriteError>> {
-        if let Some(revision) = self.catch_up_noting(edit, tree).await? {
+        if let Some(revision) = self.catch_up_for_edit(edit, tree).await? {
             return Ok(Some(revision));
         }
         let next = tree.with(edit.path.clone(), edit.text.clone());
@@ -213,8 +215,9 @@
         }
     }
 
-    /// Reads newer changes; finds an earlier try of this very write, or another's change.
-    async fn catch_up_noting(
+    /// Reads newer changes into `tree`. Returns the revision of this write if an earlier attempt
+    /// was accepted, and fails with a conflict if another author has changed the node.
+    async fn catch_up_for_edit(
         &self,
         edit: &Edit,
         tree: &mut Tree,
@@ -236,8 +239,8 @@
         if current == edit.seen {
             return Ok(None);
         }
-        // The node changed since the operator read it: by an earlier try of this write, or by
-        // someone else.
+        // The node has changed since the operator read it, either by an earlier attempt of this write or
+        // by another author.
         let last = if current.0 > 0 {
             self.change(current).await.change_context(WriteError::Platform)?
         } else {
@@ -256,7 +259,8 @@
         }))
     }
 
-    /// Writes a snapshot now and then; a failure only makes newcomers read more changes.
+    /// Writes a snapshot every [`SNAPSHOT_EVERY`] changes. A failure is ignored, as it only makes
+    /// new processes read more changes.
     async fn snapshot_if_due(&self, tree: &Tree) {
         if !tree.revision.0.is_multiple_of(SNAPSHOT_EVERY) {
             return;
--- a/crates/dillmill-wire/src/flow_message.rs
+++ b/crates/dillmill-wire/src/flow_message.rs
@@ -1,4 +1,4 @@
-//! Messages about packet flows, and the envelope before a packet that is passed on.
+//! Control messages about packet flows, and the envelope that precedes a forwarded packet.
 
 use std::net::SocketAddrV4;
 
@@ -7,72 +7,73 @@
 
 use crate::FrameError;
 
-/// A message about packet flows.
+/// A control message about packet flows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FlowMessage {
-    /// To a balancer: this agent holds the flow.
+    /// Tells a balancer which agent holds the flow.
     Owner {
         /// The flow.
         flow: FlowTuple,
-        /// The agent.
+        /// Agent that holds the flow.
         owner: ProcessId,
-        /// Where packets reach it.
+        /// Address at which the agent receives packets.
         data: SocketAddrV4,
     },
-    /// To a balancer: no agent holds the flow.
+    /// Tells a balancer that no agent holds the flow.
     Missing {
         /// The flow.
         flow: FlowTuple,
-        /// Number of the byte that the caller expects next.
+        /// Sequence number of the byte that the caller expects next.
         caller_expects: u32,
     },
-    /// To a balancer: nobody can take the new flow.
+    /// Tells a balancer that no agent can accept the new flow.
     Refused {
         /// The flow.
         flow: FlowTuple,
-        /// The agent to which the balancer gave it.
+        /// Agent on which the balancer had placed the flow.
         placed: ProcessId,
     },
-    /// To a directory: flows of the sender's target.
+    /// Sends a directory a batch of records of the flows of the sender's target.
     Records {
         /// Number of the batch.
         number: u32,
-        /// The flows.
+        /// Records of the flows.
         records: Vec<FlowRecord>,
     },
-    /// To an agent: its batch of records is here.
+    /// Acknowledges a batch of records to the agent that sent it.
     RecordsAck {
-        /// Number of the batch.
+        /// Number of the acknowledged batch.
         number: u32,
     },
-    /// To an agent: tell of the flows that the sender is to remember from now on.
+    /// Asks an agent for the records of the flows for which the sender is now a directory.
     AskRecords {
-        /// The sender's record: who answers must know it for a directory of later flows, too.
+        /// The sender's member record, as the agent that replies must also know the sender as a
+        /// directory of later flows.
         me: Box<Member>,
     },
-    /// To a directory: all records that it is to remember have been sent.
+    /// Tells a directory that all records that it must hold have been sent.
     RecordsComplete {
-        /// The sender.
+        /// Sender of the records.
         process: ProcessId,
     },
-    /// To an agent: report your load.
+    /// Asks an agent to report its load.
     AskLoad,
 }
 
 /// Appends `envelope` and `packet` to `buf`.
 pub fn seal_envelope(envelope: &Envelope, packet: &[u8], buf: &mut Vec<u8>) {
-    // A vector takes whatever is written; the envelope has no type that postcard can't encode.
+    // Encoding can't fail: a vector accepts any length, and postcard can encode every type in an envelope.
     if let Ok(head) = postcard::to_extend(envelope, std::mem::take(buf)) {
         *buf = head;
         buf.extend_from_slice(packet);
     }
 }
 
-/// Splits `bytes` into an envelope and the packet behind it.
+/// Splits `bytes` into an envelope and the packet after it.
 ///
 /// # Errors
 ///
-/// Refuses bytes that do not start with an envelope.
+/// Returns an error if `bytes` does not start with an envelope.
 pub fn open_envelope(bytes: &[u8]) -> Result<(Envelope, &[u8]), FrameError> {
     Ok(postcard::take_from_bytes(bytes)?)
 }
--- a/crates/dillmill-wire/src/frame.rs
+++ b/crates/dillmill-wire/src/frame.rs
@@ -1,14 +1,14 @@
-//! The header before a packet between a balancer and an agent.
+//! Defines the header that precedes each QUIC packet between a balancer and an agent.
 
 use std::net::SocketAddr;
 
 use dillmill_core::ServiceNumber;
 use serde::{Deserialize, Serialize};
 
-/// Longest encoded header, in bytes.
+/// Maximum length of an encoded header, in bytes.
 pub const MAX_FRAME_LEN: usize = 48;
 
-/// Says whose packet follows.
+/// Header that identifies the service and the caller of the packet that follows.
 ///
 /// ```
 /// use dillmill_core::ServiceNumber;
@@ -26,37 +26,37 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// Service whose address the packet came to or leaves from.
+    /// Service to whose address the packet was sent, or from whose address it is sent.
     pub service: ServiceNumber,
-    /// The caller.
+    /// Address of the caller.
     pub caller: SocketAddr,
-    /// How often an agent has passed the packet to another.
+    /// Number of times that an agent has forwarded the packet to another agent.
     pub hops: u8,
-    /// Balancer that answers go through; `None` means the sender.
+    /// Balancer through which responses are sent; `None` means the sender of the frame.
     pub balancer: Option<SocketAddr>,
 }
 
-/// Why bytes are not a frame.
+/// Error for bytes that do not start with a valid frame header or envelope.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("not a frame: {0}")]
+#[error("invalid frame header or envelope: {0}")]
 pub struct FrameError(#[from] postcard::Error);
 
 impl Frame {
     /// Appends the header and `packet` to `buf`.
     pub fn encode(&self, packet: &[u8], buf: &mut Vec<u8>) {
         let mut head = [0; MAX_FRAME_LEN];
-        // The header's longest form is 2 x (1 + 16 + 3) + 3 + 1 + 1 bytes, which fits.
+        // Encoding can't fail: a header takes at most 2 x (1 + 16 + 3) + 3 + 1 + 1 bytes, which fits.
         if let Ok(head) = postcard::to_slice(self, &mut head) {
             buf.extend_from_slice(head);
             buf.extend_from_slice(packet);
         }
     }
 
-    /// Splits `bytes` into header and packet.
+    /// Splits `bytes` into the header and the packet after it.
     ///
     /// # Errors
     ///
-    /// Refuses bytes that do not start with a header.
+    /// Returns an error if `bytes` does not start with a header.
     pub fn decode(bytes: &[u8]) -> Result<(Self, &[u8]), FrameError> {
         Ok(postcard::take_from_bytes(bytes)?)
     }
--- a/crates/dillmill-wire/src/lib.rs
+++ b/crates/dillmill-wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Messages between the processes of dillmill.
+//! Wire formats of the messages between dillmill processes.
 //!
-//! Control messages are `postcard` with an HMAC-SHA-256 tag under the installation's key, so that
-//! a stranger who can send to a control address can't change the view of a process. Packets of
-//! flows travel between balancers and agents behind a short [`Frame`]; QUIC protects their content.
+//! Control messages are encoded with `postcard` and authenticated by an HMAC-SHA-256 tag under the
+//! installation's key, so that an outsider who can send to a control address can't change the state of a
+//! process. Packets of flows are sent between balancers and agents after a short [`Frame`] header; QUIC
+//! protects their content.
 
 pub mod flow_message;
 pub mod frame;
--- a/crates/dillmill-wire/src/message.rs
+++ b/crates/dillmill-wire/src/message.rs
@@ -1,4 +1,4 @@
-//! Control messages in datagrams.
+//! Control messages that are sent as datagrams.
 
 use dillmill_core::claims::{
     ClaimAnswer, ClaimKey, Epoch, HandedRecord, Inquiry, Ring, RingMember,
@@ -14,104 +14,106 @@
 /// A control message in one datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Membership.
+    /// Probe of the membership protocol.
     Probe(Probe),
-    /// An agent's load, to its siblings or to balancers that send it new flows.
+    /// Load of an agent, sent to the other agents of its service or to balancers that place new
+    /// flows on it.
     Load(LoadReport),
-    /// A message about packet flows.
+    /// Message about packet flows.
     Flow(FlowMessage),
-    /// All orders to evacuate data centres that hold.
+    /// All evacuation orders in force.
     Evacuations(Evacuations),
-    /// Asks for the changes after a revision.
+    /// Asks for the settings changes after a revision.
     Pull {
-        /// Last revision that the sender has.
+        /// Last revision that the sender has applied.
         after: Revision,
     },
-    /// Consecutive changes of settings.
+    /// Consecutive settings changes.
     Changes(Vec<Change>),
-    /// A question between agents of a service.
+    /// Request from one agent of a service to another.
     PeerRequest {
-        /// Number that the reply repeats.
+        /// Identifier of the request, which the reply repeats.
         id: u64,
-        /// The process asked: another one at its address must not answer for it.
+        /// Process that the request is for; another process at the same address must not reply in
+        /// its place.
         to: ProcessId,
-        /// The service.
+        /// Service of both agents.
         service: ServiceName,
-        /// The question.
+        /// Content of the request.
         ask: PeerRequest,
     },
-    /// The reply.
+    /// Reply to [`Message::PeerRequest`].
     Reply {
-        /// Number of the question.
+        /// Identifier of the request.
         id: u64,
-        /// The reply.
+        /// Content of the reply.
         reply: Reply,
     },
 }
 
-/// A question between agents of a service.
+/// A request from one agent of a service to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// May the sender dispatch this key?
+    /// Requests permission to dispatch the request with this key.
     Claim {
-        /// The key.
+        /// Key of the claim.
         key: ClaimKey,
-        /// Sender's epoch.
+        /// Epoch of the sender's ring.
         epoch: Epoch,
-        /// The sender.
+        /// Sender, which claims the key.
         by: RingMember,
     },
-    /// What do you know of this key?
+    /// Requests what the receiver knows about this key.
     Inquire {
-        /// The key.
+        /// Key of the claim.
         key: ClaimKey,
-        /// Sender's epoch.
+        /// Epoch of the sender's ring.
         epoch: Epoch,
     },
-    /// Keep a copy of a grant.
+    /// Asks the receiver to store a copy of a grant.
     Copy {
-        /// The key.
+        /// Key of the claim.
         key: ClaimKey,
         /// Epoch of the grant.
         epoch: Epoch,
-        /// Who holds it.
+        /// Holder of the grant.
         holder: RingMember,
     },
-    /// The sender did not and will not dispatch this key under its grant.
+    /// Releases a grant under which the sender has not dispatched the key and never will.
     Release {
-        /// The key.
+        /// Key of the claim.
         key: ClaimKey,
-        /// The sender.
+        /// Sender, which gives up the grant.
         by: ProcessId,
     },
-    /// A ring that may be newer than yours; yours is the reply.
+    /// Sends the sender's ring, which may be newer than the receiver's, and requests the receiver's ring.
     Ring(Ring),
-    /// Records of another agent, each with its answer where that is short enough.
+    /// Transfers records of another agent, each with its cached response if that is short enough.
     HandOver(Vec<(HandedRecord, Option<CachedResponse>)>),
 }
 
-/// An answer kept for resends.
+/// A response that is stored to be replayed to retried requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-/// A reply between agents of a service.
+/// A reply from one agent of a service to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`PeerRequest::Claim`].
+    /// Reply to [`PeerRequest::Claim`].
     Claim(ClaimAnswer),
-    /// To [`PeerRequest::Inquire`].
+    /// Reply to [`PeerRequest::Inquire`].
     Inquiry(Inquiry),
-    /// To [`PeerRequest::Copy`]: whether the epoch was the same.
+    /// Reply to [`PeerRequest::Copy`]; true if both agents are at the same epoch.
     Copied(bool),
-    /// To [`PeerRequest::Ring`]: the ring in force at the asked agent.
+    /// Reply to [`PeerRequest::Ring`]: the ring that is in force at the replying agent.
     Ring(Ring),
-    /// Done.
+    /// Confirms a request that needs no other reply.
     Done,
 }
--- a/crates/dillmill-wire/src/packet.rs
+++ b/crates/dillmill-wire/src/packet.rs
@@ -1,4 +1,4 @@
-//! What the invariant header of a QUIC packet says of its destination (RFC 8999 section 5).
+//! Reads the destination of a QUIC packet from its version-independent header (RFC 8999 section 5).
 
 use std::io::Cursor;
 
@@ -15,13 +15,13 @@
 /// Destination of a packet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Destination {
-    /// The packet may start a flow: its connection id may be the caller's own choice.
+    /// The packet may start a flow, as its connection id may have been chosen by the caller.
     MayStart(ConnectionId),
-    /// The packet belongs to a flow: its connection id is one that an agent issued.
+    /// The packet belongs to an existing flow, as its connection id was issued by an agent.
     Established(ConnectionId),
 }
 
-/// Reads the destination of the first packet in a datagram; `None` if it is no QUIC.
+/// Reads the destination of the first packet in a datagram; `None` if it is not a QUIC packet.
 #[must_use]
 pub fn packet_destination(datagram: &[u8]) -> Option<Destination> {
     let is_long = datagram.first()? & LONG_HEADER_FORM != 0;
@@ -31,7 +31,7 @@
     match ProtectedHeader::decode(&mut head, &parser, DEFAULT_SUPPORTED_VERSIONS, true) {
         Ok(ProtectedHeader::Initial(header)) => Some(Destination::MayStart(header.dst_cid)),
         Ok(ProtectedHeader::Long { ty: LongType::ZeroRtt, dst_cid, .. })
-        // The agent answers with the versions that it speaks (RFC 9000 section 6).
+        // The agent responds with the versions that it supports (RFC 9000 section 6).
         | Err(PacketDecodeError::UnsupportedVersion { dst_cid, .. }) => {
             Some(Destination::MayStart(dst_cid))
         }
--- a/crates/dillmill-wire/src/seal.rs
+++ b/crates/dillmill-wire/src/seal.rs
@@ -1,4 +1,4 @@
-//! Authenticity of control messages.
+//! Authenticates control messages with an HMAC tag.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 
 const TAG_LEN: usize = 16;
 
-/// The key that all processes of an installation share.
+/// Secret key that all processes of an installation share.
 #[derive(Clone)]
 pub struct ClusterKey(hmac::Key);
 
@@ -20,38 +20,38 @@
     }
 }
 
-/// The text is not a key.
+/// Error for a text that is not a cluster key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the cluster key is not 64 hexadecimal digits")]
 pub struct ClusterKeyError;
 
-/// Why bytes are not an authentic message.
+/// Reason why a message could not be sealed or opened.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SealError {
     /// The tag is missing or wrong.
     #[error("message without a valid tag")]
     Tag,
-    /// The content can't be read or written.
-    #[error("message can't be coded: {0}")]
+    /// The content can't be decoded or encoded.
+    #[error("message can't be encoded or decoded: {0}")]
     Code(#[from] postcard::Error),
 }
 
 impl ClusterKey {
-    /// Reads a key from 64 hexadecimal digits.
+    /// Parses a key from 64 hexadecimal digits.
     ///
     /// # Errors
     ///
-    /// Refuses any other text.
+    /// Returns an error for any other text.
     pub fn from_hex(text: &str) -> Result<Self, ClusterKeyError> {
         let bytes: [u8; 32] = parse_hex(text).ok_or(ClusterKeyError)?;
         Ok(Self(hmac::Key::new(hmac::HMAC_SHA256, &bytes)))
     }
 
-    /// Encodes `message` and adds a tag.
+    /// Encodes `message` and appends an authentication tag.
     ///
     /// # Errors
     ///
-    /// Fails if the message can't be encoded.
+    /// Returns an error if the message can't be encoded.
     pub fn seal<T: Serialize>(&self, message: &T) -> Result<Vec<u8>, SealError> {
         let mut bytes = postcard::to_stdvec(message)?;
         let tag = hmac::sign(&self.0, &bytes);
@@ -59,11 +59,11 @@
         Ok(bytes)
     }
 
-    /// Checks the tag and decodes a message.
+    /// Verifies the tag and decodes the message.
     ///
     /// # Errors
     ///
-    /// Refuses bytes without a valid tag, or that are no `T`.
+    /// Returns an error if the tag is missing or wrong, or if the content is not a `T`.
     pub fn open<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<T, SealError> {
         let split = bytes.len().checked_sub(TAG_LEN).ok_or(SealError::Tag)?;
         let (content, tag) = bytes.split_at(split);
--- a/crates/dillmill-wire/src/stream.rs
+++ b/crates/dillmill-wire/src/stream.rs
@@ -1,21 +1,21 @@
-//! Messages on TCP connections between processes, each behind its length in 4 bytes.
+//! Messages on TCP connections between processes, each preceded by its length in 4 bytes.
 
 use dillmill_core::membership::{MemberChange, RecordBuckets};
 use dillmill_core::{Evacuations, Event, GroupName, Member, ProcessId, Revision, ServiceName};
 use dillmill_settings::{Change, RouteTree, Tree};
 use serde::{Deserialize, Serialize};
 
-/// Longest message on a stream, in bytes: a tree of the target size with room to grow.
+/// Maximum length of a message on a stream, in bytes; it fits a tree of the target size with room to grow.
 pub const MAX_STREAM_MESSAGE: usize = 16 * 1024 * 1024;
 
-/// A request that an agent hands to a sibling.
+/// A request that an agent forwards to another agent of the same service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardedRequest {
-    /// The process meant: another one at its address must not run it.
+    /// Process that the request is for; another process at the same address must not run it.
     pub to: ProcessId,
-    /// The service.
+    /// Service of the request.
     pub service: ServiceName,
-    /// Whose request it is.
+    /// Group of the caller.
     pub group: GroupName,
     /// Method.
     pub method: String,
@@ -27,89 +27,89 @@
     pub key: Option<String>,
     /// Time left until the caller's deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// Agents that have handed it on, to bound the hops.
+    /// Number of agents that have forwarded the request, which limits the number of hops.
     pub hops: u8,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-/// What a process says of itself.
+/// Status that a process reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessStatus {
-    /// Its own record.
+    /// Member record of the process.
     pub member: Member,
     /// Settings revision in force.
     pub revision: Revision,
     /// Data centres that get no new flows.
     pub evacuations: Evacuations,
-    /// Whether the platform answered last time.
+    /// Whether the platform responded to the last call.
     pub platform_reachable: bool,
-    /// Open flows or connections.
+    /// Number of open flows or connections.
     pub flows: u64,
-    /// Processes that it takes for serving.
+    /// Number of processes that the process considers to be serving.
     pub serving: u64,
 }
 
 /// A message on a TCP connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StreamMessage {
-    /// Asks for member records that differ, and for settings after a revision.
+    /// Requests the member records that differ and the settings changes after a revision.
     Sync {
-        /// Sender's hashes of its buckets of records.
+        /// Hashes of the sender's buckets of member records.
         buckets: RecordBuckets,
-        /// Sender's settings revision.
+        /// Settings revision of the sender.
         after: Revision,
-        /// Sender's own record.
+        /// Member record of the sender.
         me: Member,
     },
-    /// Answers [`StreamMessage::Sync`].
+    /// Reply to [`StreamMessage::Sync`].
     SyncReply {
-        /// Records of buckets that differ.
+        /// Member records of the buckets that differ.
         members: Vec<Member>,
-        /// Changes that follow the asker's revision.
+        /// Changes that follow the requester's revision.
         changes: Vec<Change>,
-        /// A whole tree, where the changes are not at hand.
+        /// Whole tree, if the changes are not available.
         tree: Option<Tree>,
-        /// A newer tree of routes.
+        /// Route tree, if it is newer than the requester's.
         routes: Option<RouteTree>,
-        /// Orders to evacuate data centres, if any are known.
+        /// Evacuation orders, if any are known.
         evacuations: Option<Evacuations>,
     },
-    /// Asks for [`StreamMessage::Status`].
+    /// Requests [`StreamMessage::Status`].
     GetStatus,
-    /// Answers with the process's status.
+    /// Status of the process; reply to [`StreamMessage::GetStatus`].
     Status(Box<ProcessStatus>),
-    /// Asks for [`StreamMessage::Members`].
+    /// Requests [`StreamMessage::Members`].
     GetMembers,
-    /// Answers with all records.
+    /// All member records; reply to [`StreamMessage::GetMembers`].
     Members(Vec<Member>),
-    /// Asks for [`StreamMessage::Events`].
+    /// Requests [`StreamMessage::Events`].
     GetEvents,
-    /// Answers with the time line of the process.
+    /// Event timeline of a process; reply to [`StreamMessage::GetEvents`].
     Events {
-        /// The process.
+        /// Process that recorded the events.
         process: ProcessId,
-        /// Its events, oldest first.
+        /// Events, oldest first.
         events: Vec<Event>,
     },
-    /// Hands a request over.
+    /// Forwards a request to another agent.
     Request(Box<ForwardedRequest>),
-    /// Start of an answer.
+    /// Start of a response.
     ResponseHead {
         /// HTTP status.
         status: u16,
         /// Headers.
         headers: Vec<(String, Vec<u8>)>,
     },
-    /// Part of an answer's body.
+    /// Part of a response's body.
     ResponseData(Vec<u8>),
-    /// The answer is whole.
+    /// End of a complete response.
     ResponseEnd,
-    /// The answer will not be whole.
+    /// The response was aborted and remains incomplete.
     ResponseAborted,
 }
 
-/// Describes a change of a member's standing for the time line.
+/// Describes a change of a member's status for the event timeline.
 #[must_use]
 pub fn describe(change: &MemberChange) -> String {
     let member = &change.member;
--- a/crates/dillmill-wire/tests/fuzzed_messages.rs
+++ b/crates/dillmill-wire/tests/fuzzed_messages.rs
@@ -1,4 +1,5 @@
-//! Bytes of others never bring a decoder of our own messages down, and an envelope is read as it was written.
+//! Arbitrary input never makes a decoder of the messages between processes panic, and an envelope
+//! decodes to what was encoded.
 
 use dillmill_core::{
     Envelope, PacketPurpose, ProcessId, Revision, Search, SearchPlace, SearchScope, ServiceTag,
@@ -7,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same cases in each run of CI.
+/// Uses a fixed seed, so that every CI run tests the same cases.
 fn config() -> ProptestConfig {
     ProptestConfig { rng_seed: RngSeed::Fixed(7), cases: 2000, ..ProptestConfig::default() }
 }
