--- a/crates/dillmill-balancer/src/balancer.rs
+++ b/crates/dillmill-balancer/src/balancer.rs
@@ -22,9 +22,9 @@
 use crate::service_socket::ServiceSocket;
 
 const MAX_DATAGRAM: usize = 64 * 1024;
-const QUIET: Duration = Duration::from_secs(1);
+const IDLE_BEFORE_STOP: Duration = Duration::from_secs(1);
 const STOP_LIMIT: Duration = Duration::from_mins(1);
-const MIN_STOP: Duration = Duration::from_secs(3);
+const MIN_STOP_TIME: Duration = Duration::from_secs(3);
 
 /// Counters of a balancer.
 #[derive(Debug, Clone)]
@@ -68,7 +68,7 @@
     metrics: BalancerMetrics,
 }
 
-struct Bound {
+struct BoundService {
     address: SocketAddrV4,
     number: ServiceNumber,
     _task: JoinHandle<()>,
@@ -102,7 +102,7 @@
         let (tx, rx) = flume::unbounded();
         compio::runtime::spawn(return_packets(data.clone(), rx, metrics.clone())).detach();
         let bind = config.balancer.as_ref().and_then(|balancer| balancer.bind);
-        let sockets = Sockets {
+        let sockets = ServiceSockets {
             handle: node.handle.clone(),
             bind,
             data,
@@ -118,10 +118,10 @@
         let handle = &self.node.handle;
         handle.leave();
         let started = handle.clock.now();
-        compio::time::sleep(MIN_STOP).await;
+        compio::time::sleep(MIN_STOP_TIME).await;
         loop {
             let before = self.metrics.forwarded.get();
-            compio::time::sleep(QUIET).await;
+            compio::time::sleep(IDLE_BEFORE_STOP).await;
             let quiet = self.metrics.forwarded.get() == before;
             if quiet || handle.clock.now().since(started) >= STOP_LIMIT {
                 let cause = if quiet { "no more packets" } else { "limit reached" };
@@ -134,7 +134,7 @@
 }
 
 /// Keeps one bound socket for each service of the settings.
-struct Sockets {
+struct ServiceSockets {
     handle: NodeHandle,
     bind: Option<Ipv4Addr>,
     data: UdpSocket,
@@ -142,20 +142,21 @@
     metrics: BalancerMetrics,
 }
 
-impl Sockets {
+impl ServiceSockets {
     async fn run(self) {
-        let mut bound: BTreeMap<ServiceName, Bound> = BTreeMap::new();
+        let mut bound: BTreeMap<ServiceName, BoundService> = BTreeMap::new();
         let views = self.handle.views();
         while let Some(view) = views.next().await {
             self.reconcile(&view, &mut bound).await;
         }
     }
 
-    async fn reconcile(&self, view: &Arc<View>, bound: &mut BTreeMap<ServiceName, Bound>) {
+    async fn reconcile(&self, view: &Arc<View>, bound: &mut BTreeMap<ServiceName, BoundService>) {
         let Some(settings) = &view.settings else { return };
         bound.retain(|name, b| {
             let keep = settings.service(name).is_some_and(|service| {
-                self.local(service.node.address) == b.address && service.node.number == b.number
+                self.listen_address(service.node.address) == b.address
+                    && service.node.number == b.number
             });
             if !keep {
                 let _ = self.returns.send(ReturnSocket { service: b.number, socket: None });
@@ -166,7 +167,7 @@
         });
         for service in settings.services() {
             if !bound.contains_key(&service.name) {
-                let address = self.local(service.node.address);
+                let address = self.listen_address(service.node.address);
                 if let Some(b) = self.open(&service.name, service.node.number, address).await {
                     bound.insert(service.name.clone(), b);
                 }
@@ -174,7 +175,7 @@
         }
     }
 
-    fn local(&self, address: SocketAddrV4) -> SocketAddrV4 {
+    fn listen_address(&self, address: SocketAddrV4) -> SocketAddrV4 {
         SocketAddrV4::new(self.bind.unwrap_or(*address.ip()), address.port())
     }
 
@@ -183,7 +184,7 @@
         name: &ServiceName,
         number: ServiceNumber,
         address: SocketAddrV4,
-    ) -> Option<Bound> {
+    ) -> Option<BoundService> {
         let socket = match UdpSocket::bind(address).await {
             Ok(socket) => socket,
             Err(e) => {
@@ -203,7 +204,7 @@
             metrics: self.metrics.clone(),
         };
         let task = compio::runtime::spawn(task.run());
-        Some(Bound { address, number, _task: task })
+        Some(BoundService { address, number, _task: task })
     }
 }
 
--- a/crates/dillmill-balancer/src/lib.rs
+++ b/crates/dillmill-balancer/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod service_socket;
 
 pub use balancer::Balancer;
-pub use route::{DropReason, Route, RouteTable};
+pub use route::{DropReason, Route, ServiceRouter};
--- a/crates/dillmill-balancer/src/route.rs
+++ b/crates/dillmill-balancer/src/route.rs
@@ -7,7 +7,7 @@
 
 /// What a service's packets are routed by.
 #[derive(Debug, Clone)]
-pub struct RouteTable {
+pub struct ServiceRouter {
     /// The service.
     pub service: ServiceNumber,
     /// Keys of connection ids.
@@ -60,7 +60,7 @@
     Drop(DropReason),
 }
 
-impl RouteTable {
+impl ServiceRouter {
     /// Decides where a datagram of a caller goes.
     ///
     /// The agent inside a valid connection id is believed whatever the members' standing: a flow
--- a/crates/dillmill-balancer/src/service_socket.rs
+++ b/crates/dillmill-balancer/src/service_socket.rs
@@ -9,7 +9,7 @@
 use dillmill_wire::Frame;
 
 use crate::balancer::BalancerMetrics;
-use crate::{Route, RouteTable};
+use crate::{Route, ServiceRouter};
 
 const MAX_DATAGRAM: usize = 64 * 1024;
 
@@ -53,7 +53,7 @@
 
     async fn forward(
         &self,
-        table: &RouteTable,
+        table: &ServiceRouter,
         caller: SocketAddr,
         agent: SocketAddrV4,
         packet: &[u8],
@@ -69,10 +69,10 @@
     }
 }
 
-fn route_table(view: &View, name: &ServiceName) -> Option<RouteTable> {
+fn route_table(view: &View, name: &ServiceName) -> Option<ServiceRouter> {
     let settings = view.settings.as_ref()?;
     let service = settings.service(name)?;
-    Some(RouteTable {
+    Some(ServiceRouter {
         service: service.node.number,
         keys: settings.flow_keys().clone(),
         homes: view.home_table(name),
--- a/crates/dillmill-balancer/tests/packet_routes.rs
+++ b/crates/dillmill-balancer/tests/packet_routes.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use dillmill_balancer::{DropReason, Route, RouteTable};
+use dillmill_balancer::{DropReason, Route, ServiceRouter};
 use dillmill_core::{
     FlowId, FlowKey, FlowKeys, Home, HomeTable, ProcessId, Secret, ServiceNumber, Weight,
 };
@@ -18,14 +18,14 @@
     FlowKeys::new(&[FlowKey { id: 1, secret: Secret::new(fill.repeat(32)) }]).unwrap()
 }
 
-fn table(serving: &[u8]) -> RouteTable {
+fn table(serving: &[u8]) -> ServiceRouter {
     let homes = HomeTable::new(serving.iter().map(|n| Home {
         process: ProcessId(u64::from(*n)),
         data: addr(*n),
         control: addr(*n),
         weight: Weight(100),
     }));
-    RouteTable { service: SERVICE, keys: keys("a"), homes }
+    ServiceRouter { service: SERVICE, keys: keys("a"), homes }
 }
 
 fn short(id: &[u8]) -> Vec<u8> {
--- a/crates/dillmill-flow/src/agent.rs
+++ b/crates/dillmill-flow/src/agent.rs
@@ -17,7 +17,7 @@
 use crate::{endpoints, presence, sockets};
 
 /// A target that starts with its agent speaks within this time.
-const FIRST_WORD: Duration = Duration::from_millis(100);
+const FIRST_HEARTBEAT_WAIT: Duration = Duration::from_millis(100);
 /// Part of the time for a stop that is left for the end of the process itself.
 const STOP_MARGIN: Duration = Duration::from_secs(3);
 
@@ -48,7 +48,7 @@
         let target = settings.target.ok_or_else(|| missing("target"))?;
         let from_target = settings.from_target.ok_or_else(|| missing("address for its packets"))?;
         let config = process_config(settings, metrics_port);
-        let presence = presence::look(target, presence::FIRST_PATIENCE).await;
+        let presence = presence::probe(target, presence::FIRST_CONNECT_TIMEOUT).await;
         let announcement = Announcement::first(service.clone(), presence);
         let spec = NodeSpec {
             role: Role::Agent(service.clone()),
@@ -56,7 +56,7 @@
             weight: Weight(announcement.slots),
             coverage: announcement.coverage,
             settings: SettingsSource::Routes,
-            quiet: FIRST_WORD,
+            quiet: FIRST_HEARTBEAT_WAIT,
         };
         let node = Node::spawn(&config, spec).await?;
         let counters = AgentCounters::new(&node.handle.metrics)?;
--- a/crates/dillmill-flow/src/agent_task.rs
+++ b/crates/dillmill-flow/src/agent_task.rs
@@ -44,7 +44,7 @@
 /// Time between two looks at what is due to be sent. Each wake-up costs; what can't wait is sent at once.
 const TICK: Duration = Duration::from_millis(100);
 /// A stop waits at least this long, so that all balancers have heard of it.
-const STOP_MIN: Duration = Duration::from_millis(300);
+const MIN_STOP_TIME: Duration = Duration::from_millis(300);
 
 /// Asks the task to take no new flow, and to say when no request is left.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
 
 /// What an agent sees of its target's work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fitness {
+enum TargetHealth {
     /// It answers.
     Sound,
     /// It leaves everything without an answer.
@@ -78,10 +78,10 @@
 
 /// A balancer that sends new flows here.
 #[derive(Debug, Clone, Copy)]
-struct Origin {
-    last_flow: Timestamp,
+struct ReportSubscriber {
+    last_new_flow: Timestamp,
     last_report: Timestamp,
-    reported: LoadReport,
+    last_reported: LoadReport,
     due: bool,
 }
 
@@ -107,11 +107,11 @@
     catch_up: DirectoryCatchUp,
     /// Since when the others may take this agent for a directory.
     directory_since: Timestamp,
-    origins: HashMap<SocketAddrV4, Origin>,
+    report_subscribers: HashMap<SocketAddrV4, ReportSubscriber>,
     runs: TargetRuns,
     /// Packets to ask the target with which flows it holds.
-    kept: CallerPackets,
-    fitness: Fitness,
+    caller_packets: CallerPackets,
+    health: TargetHealth,
     /// What the others have been told of the target, and what they are to be told.
     announced: Announcement,
     announcement: Announcement,
@@ -160,10 +160,10 @@
             registrations: Registrations::default(),
             catch_up: DirectoryCatchUp::default(),
             directory_since: now,
-            origins: HashMap::new(),
+            report_subscribers: HashMap::new(),
             runs: TargetRuns::new(settings.heartbeat_every),
-            kept: CallerPackets::default(),
-            fitness: Fitness::Sound,
+            caller_packets: CallerPackets::default(),
+            health: TargetHealth::Sound,
             announced: announcement.clone(),
             announcement,
             pauses: PauseWatch::new(TICK * 2),
@@ -193,7 +193,7 @@
             flows.into_stream().map(|(from, m)| Event::Flow(from, m)).boxed_local(),
             calls.into_stream().map(Event::Call).boxed_local(),
             stops.into_stream().map(Event::Stop).boxed_local(),
-            stream::once(self.look_again()).map(Event::Presence).boxed_local(),
+            stream::once(self.probe_target_again()).map(Event::Presence).boxed_local(),
             self.link_free.clone().into_stream().map(|()| Event::LinkFree).boxed_local(),
             ticks(TICK).map(|()| Event::Tick).boxed_local(),
         ]);
@@ -204,21 +204,21 @@
                 self.gate.heard();
             }
             if let Some(view) = self.views.newer() {
-                self.take_view(&view, now);
+                self.apply_view(&view, now);
             }
             match event {
                 Event::FromNetwork(buf) => {
-                    self.take_from_network(buf, now).await;
-                    self.serve_waiting(now).await;
+                    self.handle_network_packet(buf, now).await;
+                    self.serve_queue(now).await;
                 }
-                Event::FromTarget(buf) => self.take_from_target(buf, now).await,
+                Event::FromTarget(buf) => self.handle_target_packet(buf, now).await,
                 Event::Flow(from, message) => self.message(from, message, now),
                 Event::Call(call) => self.call(call, now).await,
                 Event::Stop(request) => self.stop(request, now),
-                Event::Presence(presence) => self.take_presence(presence),
+                Event::Presence(presence) => self.apply_presence(presence),
                 Event::LinkFree => self.uplink.release(now).await,
                 Event::Tick => {
-                    self.serve_waiting(now).await;
+                    self.serve_queue(now).await;
                     self.tick(now);
                 }
             }
@@ -226,17 +226,17 @@
     }
 
     /// Looks for the target once more, if the first look told nothing.
-    fn look_again(&self) -> impl Future<Output = TargetPresence> + use<> {
+    fn probe_target_again(&self) -> impl Future<Output = TargetPresence> + use<> {
         let (known, target) = (self.gate.presence(), self.target);
         async move {
             match known {
-                TargetPresence::Unknown => presence::look(target, presence::PATIENCE).await,
+                TargetPresence::Unknown => presence::probe(target, presence::CONNECT_TIMEOUT).await,
                 TargetPresence::Absent | TargetPresence::Present => known,
             }
         }
     }
 
-    fn take_view(&mut self, view: &View, now: Timestamp) {
+    fn apply_view(&mut self, view: &View, now: Timestamp) {
         self.settled = view.settled;
         // A balancer knows the orders before it knows any route, so what it sends meanwhile is right.
         let evacuations = view.evacuations.as_deref().cloned().unwrap_or_default();
@@ -262,8 +262,8 @@
         self.catch_up(now);
         self.send_reports(now);
         self.gate.note_overdue(now);
-        self.watch_fitness(now);
-        self.watch_emptiness(now);
+        self.update_target_health(now);
+        self.detect_absent_target(now);
         self.announce(now);
         self.finish_stop(now);
     }
@@ -277,7 +277,8 @@
 
     fn finish_stop(&mut self, now: Timestamp) {
         let Some((request, since)) = &self.stopping else { return };
-        let heard = now.since(*since) >= STOP_MIN || self.gate.standing() == TargetStanding::Gone;
+        let heard =
+            now.since(*since) >= MIN_STOP_TIME || self.gate.standing() == TargetStanding::Gone;
         if heard && self.gate.load(now).requests == 0 {
             let _ = request.done.send(self.gate.has_no_target(now));
             self.stopping = None;
--- a/crates/dillmill-flow/src/agent_task/heartbeats.rs
+++ b/crates/dillmill-flow/src/agent_task/heartbeats.rs
@@ -11,10 +11,10 @@
 use dillmill_platform::packet;
 use dillmill_platform::{EndpointCall, Heartbeat, TargetCall, TargetState};
 
-use super::{AgentTask, Fitness};
+use super::{AgentTask, TargetHealth};
 
 impl AgentTask {
-    pub(super) fn take_presence(&mut self, presence: TargetPresence) {
+    pub(super) fn apply_presence(&mut self, presence: TargetPresence) {
         let standing = self.gate.standing();
         self.gate.set_presence(presence);
         let what = format!("target at {} {presence:?}", self.target);
@@ -23,11 +23,11 @@
     }
 
     pub(super) async fn call(&mut self, call: EndpointCall, now: Timestamp) {
-        self.take_call(call, now).await;
+        self.handle_endpoint_call(call, now).await;
         self.announce(now);
     }
 
-    async fn take_call(&mut self, call: EndpointCall, now: Timestamp) {
+    async fn handle_endpoint_call(&mut self, call: EndpointCall, now: Timestamp) {
         match call {
             EndpointCall::Ready(tx) => {
                 let ready = self.gate.can_serve(now) && !self.routes.is_empty();
@@ -38,16 +38,16 @@
                 });
             }
             EndpointCall::Target(TargetCall::Heartbeat { run, heartbeat }, tx) => {
-                if let Some(why) = self.refusal(&run, &heartbeat) {
-                    self.refuse_call(&format!("heartbeat of {run}: {why}"), now);
+                if let Some(why) = self.rejection_reason(&run, &heartbeat) {
+                    self.reject_call(&format!("heartbeat of {run}: {why}"), now);
                     // Fails only if the caller has gone.
                     let _ = tx.send(CallOutcome::Refused);
                     return;
                 }
                 let change = self.heartbeat(&run, &heartbeat, now);
                 let _ = tx.send(CallOutcome::Acknowledged);
-                self.tell_ended(&change.ended, now).await;
-                self.ask_target(change.in_doubt, now).await;
+                self.reset_ended_flows(&change.ended, now).await;
+                self.query_target_flows(change.in_doubt, now).await;
             }
             EndpointCall::Target(TargetCall::Leave { run }, tx) => {
                 let announced = self.gate.standing() == TargetStanding::Leaving;
@@ -60,13 +60,13 @@
                 }
                 let _ = tx.send(CallOutcome::Acknowledged);
             }
-            EndpointCall::Malformed { what } => self.refuse_call(&what, now),
+            EndpointCall::Malformed { what } => self.reject_call(&what, now),
         }
     }
 
     /// Returns why a heartbeat can't be a target's word: a target serves one service all its life, and a new one
     /// serves a service that the configuration names.
-    fn refusal(&self, run: &TargetRun, heartbeat: &Heartbeat) -> Option<String> {
+    fn rejection_reason(&self, run: &TargetRun, heartbeat: &Heartbeat) -> Option<String> {
         let service = &heartbeat.service;
         if self.runs.is_current(run) {
             let other = *service != self.service;
@@ -77,13 +77,13 @@
         unknown.then(|| format!("service {service}, which the configuration does not name"))
     }
 
-    fn refuse_call(&mut self, why: &str, now: Timestamp) {
+    fn reject_call(&mut self, why: &str, now: Timestamp) {
         self.counters.heartbeats_refused.inc();
         self.log.heartbeat_refused(now, why);
     }
 
     /// Tells the callers of flows that their target has ended.
-    async fn tell_ended(&mut self, ended: &[EndedFlow], now: Timestamp) {
+    async fn reset_ended_flows(&mut self, ended: &[EndedFlow], now: Timestamp) {
         for EndedFlow { flow, caller_expects } in ended {
             self.log.flow(now, flow, "reset", || "its target has started again".to_owned());
             let reset = packet::reset(flow, *caller_expects).to_vec();
@@ -94,9 +94,9 @@
 
     /// Asks the target which of these flows it holds, with a copy of a packet that their callers have sent: it
     /// gives back those of flows that ended with an earlier run.
-    async fn ask_target(&mut self, in_doubt: Vec<FlowTuple>, now: Timestamp) {
+    async fn query_target_flows(&mut self, in_doubt: Vec<FlowTuple>, now: Timestamp) {
         for flow in in_doubt {
-            let packet = self.kept.get(&flow).map(<[u8]>::to_vec);
+            let packet = self.caller_packets.get(&flow).map(<[u8]>::to_vec);
             self.log.flow(now, &flow, "in doubt", || {
                 format!("another run of the target, packet to ask with: {}", packet.is_some())
             });
@@ -115,7 +115,9 @@
                 return RunChange::default();
             }
             HeartbeatOutcome::Current => RunChange::default(),
-            HeartbeatOutcome::NewRun(predecessor) => self.new_run(run, heartbeat, predecessor, now),
+            HeartbeatOutcome::NewRun(predecessor) => {
+                self.start_run(run, heartbeat, predecessor, now)
+            }
         };
         self.gate.heard();
         self.gate.set_cold(Duration::from_millis(heartbeat.cold_ms), now);
@@ -129,7 +131,7 @@
     }
 
     /// Takes in the first heartbeat of a run of the target.
-    fn new_run(
+    fn start_run(
         &mut self,
         run: &TargetRun,
         heartbeat: &Heartbeat,
@@ -160,16 +162,16 @@
     }
 
     /// Says so when the target falls silent or breaks off what it is given, and when it serves again.
-    pub(super) fn watch_fitness(&mut self, now: Timestamp) {
-        let fitness = self.fitness(now);
-        if fitness == self.fitness {
+    pub(super) fn update_target_health(&mut self, now: Timestamp) {
+        let health = self.health(now);
+        if health == self.health {
             return;
         }
         let standing = self.gate.standing();
-        let what = format!("target {:?} -> {fitness:?}", self.fitness);
-        self.fitness = fitness;
+        let what = format!("target {:?} -> {health:?}", self.health);
+        self.health = health;
         self.handle.journal.record(EventKind::Member, what, format!("standing {standing:?}"));
-        if fitness != Fitness::Sound {
+        if health != TargetHealth::Sound {
             self.announcement.status = MemberStatus::Leaving;
         } else if self.gate.can_serve(now) && standing == TargetStanding::Ready {
             self.announcement.status = MemberStatus::Serving;
@@ -178,9 +180,9 @@
 
     /// Returns what is seen of the target. A failing one is given up only while most of its siblings serve:
     /// if all fail, the fault lies elsewhere, and somebody must try.
-    fn fitness(&self, now: Timestamp) -> Fitness {
+    fn health(&self, now: Timestamp) -> TargetHealth {
         if self.gate.target_silent(now) {
-            return Fitness::Silent;
+            return TargetHealth::Silent;
         }
         let service = self.gate.service();
         let siblings =
@@ -188,13 +190,13 @@
         let serving =
             || siblings().filter(|a| a.status == MemberStatus::Serving && !a.evacuated).count();
         if self.gate.target_failing(now) && serving() * 2 > siblings().count() {
-            return Fitness::Failing;
+            return TargetHealth::Failing;
         }
-        Fitness::Sound
+        TargetHealth::Sound
     }
 
     /// Says so when there is no target, so that nobody searches for flows here.
-    pub(super) fn watch_emptiness(&mut self, now: Timestamp) {
+    pub(super) fn detect_absent_target(&mut self, now: Timestamp) {
         if self.announcement.status != MemberStatus::Empty && self.gate.is_empty(now) {
             self.announcement.slots = 0;
             self.announcement.status = MemberStatus::Empty;
--- a/crates/dillmill-flow/src/agent_task/packets.rs
+++ b/crates/dillmill-flow/src/agent_task/packets.rs
@@ -15,19 +15,22 @@
 use crate::uplink::traffic_kind;
 
 impl AgentTask {
-    pub(super) async fn take_from_network(&mut self, buf: Vec<u8>, now: Timestamp) {
+    pub(super) async fn handle_network_packet(&mut self, buf: Vec<u8>, now: Timestamp) {
         let Ok((envelope, packet)) = open_envelope(&buf) else {
             return self.counters.dropped.inc();
         };
         let Ok(seg) = packet::decode(packet, Sender::Caller) else {
             return self.counters.dropped.inc();
         };
-        self.handle.metrics.traffic.received(kind_of(&envelope.purpose, &seg), buf.len());
-        self.take_packet(&seg, packet, envelope, now).await;
+        self.handle
+            .metrics
+            .traffic
+            .received(errand_traffic_kind(&envelope.purpose, &seg), buf.len());
+        self.handle_caller_packet(&seg, packet, envelope, now).await;
     }
 
     /// Decides on a packet of a caller.
-    pub(super) async fn take_packet(
+    pub(super) async fn handle_caller_packet(
         &mut self,
         seg: &Segment,
         packet: &[u8],
@@ -35,7 +38,7 @@
         now: Timestamp,
     ) {
         if matches!(envelope.purpose, PacketPurpose::Place { .. }) {
-            self.note_origin(envelope.origin, now);
+            self.subscribe_to_reports(envelope.origin, now);
         }
         let known = GateContext {
             agents: &self.agents,
@@ -44,10 +47,10 @@
             told: self.catch_up.is_complete(),
         };
         let verdict = self.gate.arrived(seg, &envelope, known, now);
-        self.carry_out(verdict, seg, packet.to_vec(), now).await;
+        self.apply_verdict(verdict, seg, packet.to_vec(), now).await;
     }
 
-    pub(super) async fn take_from_target(&mut self, buf: Vec<u8>, now: Timestamp) {
+    pub(super) async fn handle_target_packet(&mut self, buf: Vec<u8>, now: Timestamp) {
         let returned = packet::decode(&buf, Sender::Caller).ok().filter(|seg| seg.returned);
         if let Some(seg) = returned {
             self.counters.returned.inc();
@@ -58,33 +61,33 @@
                 told: self.catch_up.is_complete(),
             };
             let verdict = self.gate.returned(&seg, known, now);
-            return self.carry_out(verdict, &seg, buf, now).await;
+            return self.apply_verdict(verdict, &seg, buf, now).await;
         }
         let Ok(seg) = packet::decode(&buf, Sender::Target) else {
             return self.counters.dropped.inc();
         };
-        let noted = self.gate.answered(&seg, now);
-        if let Some(record) = noted.record {
+        let observed = self.gate.answered(&seg, now);
+        if let Some(record) = observed.record {
             // Before the caller can send its next packet, which may come through a balancer that does not know.
             self.registrations.push(record);
             self.register_new(now);
         }
-        if let Some(wait) = noted.answered {
+        if let Some(wait) = observed.answered {
             self.counters.answer_seconds.observe(wait.as_secs_f64());
         }
         if seg.kind == SegmentKind::Reset {
-            let decided = if noted.stray_reset { "reset held back" } else { "reset passed on" };
+            let decided = if observed.stray_reset { "reset held back" } else { "reset passed on" };
             self.log.flow(now, &seg.flow, decided, || "the target's own".to_owned());
         }
-        if noted.stray_reset {
+        if observed.stray_reset {
             return self.counters.dropped.inc();
         }
         self.counters.answered.inc();
         self.send_to_caller(&seg, buf, now).await;
-        self.serve_waiting(now).await;
+        self.serve_queue(now).await;
     }
 
-    pub(super) async fn carry_out(
+    pub(super) async fn apply_verdict(
         &mut self,
         verdict: Verdict,
         seg: &Segment,
@@ -95,13 +98,13 @@
             Verdict::Deliver { mark, tell } => {
                 self.no_longer_waits(seg);
                 self.log_delivery(seg, mark, now);
-                self.kept.keep(seg, &packet, now);
+                self.caller_packets.keep(seg, &packet, now);
                 self.deliver(packet, mark).await;
                 self.tell(tell, &seg.flow);
             }
             Verdict::Try { onward } => {
                 self.deliver(packet.clone(), 0).await;
-                Box::pin(self.carry_out(*onward, seg, packet, now)).await;
+                Box::pin(self.apply_verdict(*onward, seg, packet, now)).await;
             }
             Verdict::Pass { to, envelope, reason } => {
                 self.no_longer_waits(seg);
@@ -191,16 +194,21 @@
         let mut buf = Vec::with_capacity(packet.len() + 64);
         seal_envelope(envelope, &packet, &mut buf);
         let departure = Departure { flow: seg.flow, packet: seg.into(), buf, to };
-        self.depart(kind_of(&envelope.purpose, seg), departure, now).await;
+        self.send_through_uplink(errand_traffic_kind(&envelope.purpose, seg), departure, now).await;
     }
 
     pub(super) async fn send_to_caller(&mut self, seg: &Segment, buf: Vec<u8>, now: Timestamp) {
         let to = self.caller_address(&seg.flow);
         let departure = Departure { flow: seg.flow, packet: seg.into(), buf, to };
-        self.depart(traffic_kind(seg), departure, now).await;
+        self.send_through_uplink(traffic_kind(seg), departure, now).await;
     }
 
-    pub(super) async fn depart(&mut self, kind: TrafficKind, departure: Departure, now: Timestamp) {
+    pub(super) async fn send_through_uplink(
+        &mut self,
+        kind: TrafficKind,
+        departure: Departure,
+        now: Timestamp,
+    ) {
         if let Some(flow) = self.uplink.send(kind, departure, now).await {
             self.log.flow(now, &flow, "dropped", || "too much waits for the link".to_owned());
         }
@@ -211,7 +219,7 @@
     }
 }
 
-fn kind_of(purpose: &PacketPurpose, seg: &Segment) -> TrafficKind {
+fn errand_traffic_kind(purpose: &PacketPurpose, seg: &Segment) -> TrafficKind {
     match purpose {
         PacketPurpose::Search(_) | PacketPurpose::Directed { .. } => TrafficKind::Search,
         PacketPurpose::Place { .. } | PacketPurpose::Deliver => traffic_kind(seg),
--- a/crates/dillmill-flow/src/agent_task/reports.rs
+++ b/crates/dillmill-flow/src/agent_task/reports.rs
@@ -8,12 +8,12 @@
 use dillmill_core::{Slots, Timestamp};
 use dillmill_wire::Message;
 
-use super::{AgentTask, Origin};
+use super::{AgentTask, ReportSubscriber};
 
 /// A balancer that has sent no new flow for this long gets no more reports.
-const REPORT_WHILE: Duration = Duration::from_secs(2);
+const SUBSCRIPTION_PERIOD: Duration = Duration::from_secs(2);
 /// Reports without a new flow since the last one come this much further apart.
-const REPORT_IDLE: Duration = Duration::from_millis(200);
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl AgentTask {
     pub(super) fn report(&mut self, now: Timestamp) -> LoadReport {
@@ -31,27 +31,27 @@
         }
     }
 
-    pub(super) fn note_origin(&mut self, balancer: SocketAddrV4, now: Timestamp) {
+    pub(super) fn subscribe_to_reports(&mut self, balancer: SocketAddrV4, now: Timestamp) {
         let idle = LoadReport::idle(self.handle.process, 0);
-        let origin = self.origins.entry(balancer).or_insert(Origin {
-            last_flow: now,
+        let subscriber = self.report_subscribers.entry(balancer).or_insert(ReportSubscriber {
+            last_new_flow: now,
             last_report: Timestamp::default(),
-            reported: idle,
+            last_reported: idle,
             due: true,
         });
-        origin.last_flow = now;
-        origin.due = true;
-        if now.since(origin.last_report) >= REPORT_INTERVAL {
+        subscriber.last_new_flow = now;
+        subscriber.due = true;
+        if now.since(subscriber.last_report) >= REPORT_INTERVAL {
             self.report_to(balancer, now);
         }
     }
 
     fn report_to(&mut self, balancer: SocketAddrV4, now: Timestamp) {
         let report = self.report(now);
-        if let Some(origin) = self.origins.get_mut(&balancer) {
-            origin.last_report = now;
-            origin.reported = report;
-            origin.due = false;
+        if let Some(subscriber) = self.report_subscribers.get_mut(&balancer) {
+            subscriber.last_report = now;
+            subscriber.last_reported = report;
+            subscriber.due = false;
         }
         self.handle.send(balancer, Message::Load(report));
     }
@@ -62,13 +62,14 @@
         self.counters.requests.set(i64::from(report.in_use) + i64::from(report.queued));
         self.counters.waiting.set(i64::try_from(self.gate.waiting()).unwrap_or(i64::MAX));
         self.handle.metrics.flows.set(i64::from(report.flows));
-        self.origins.retain(|_, origin| now.since(origin.last_flow) < REPORT_WHILE);
+        self.report_subscribers
+            .retain(|_, subscriber| now.since(subscriber.last_new_flow) < SUBSCRIPTION_PERIOD);
         let due: Vec<SocketAddrV4> = self
-            .origins
+            .report_subscribers
             .iter()
             .filter(|(_, o)| {
                 let age = now.since(o.last_report);
-                o.due || (report.tells_more_than(&o.reported) && age >= REPORT_IDLE)
+                o.due || (report.tells_more_than(&o.last_reported) && age >= IDLE_REPORT_INTERVAL)
             })
             .map(|(balancer, _)| *balancer)
             .collect();
--- a/crates/dillmill-flow/src/agent_task/waiting.rs
+++ b/crates/dillmill-flow/src/agent_task/waiting.rs
@@ -6,7 +6,7 @@
 use dillmill_platform::packet::{self, Sender};
 
 use super::AgentTask;
-use crate::decision_log::age;
+use crate::decision_log::format_millis;
 
 impl AgentTask {
     /// Lets an opening packet wait for the target.
@@ -21,8 +21,8 @@
         let gate = &self.gate;
         self.log.flow(now, &seg.flow, "waits", || {
             let (requests, waiting) = (gate.load(now).requests, gate.waiting());
-            let waited = age(now.since(terms.since));
-            let patience = age(gate.patience(&seg.flow, &terms, now));
+            let waited = format_millis(now.since(terms.since));
+            let patience = format_millis(gate.patience(&seg.flow, &terms, now));
             format!(
                 "{requests} requests at the target, {waiting} wait, has waited {waited}, \
                  callers wait {patience}"
@@ -45,7 +45,7 @@
     }
 
     /// Takes on what waits and has its turn, or passes all of it on when the target takes nothing new.
-    pub(super) async fn serve_waiting(&mut self, now: Timestamp) {
+    pub(super) async fn serve_queue(&mut self, now: Timestamp) {
         for (open, verdict) in self.gate.take_lost(now) {
             self.refuse(&open.flow, &verdict, now);
         }
@@ -58,7 +58,7 @@
                 told: self.catch_up.is_complete(),
             };
             let verdict = self.gate.decide_waiting(&seg, &open.envelope, known, now);
-            Box::pin(self.carry_out(verdict, &seg, open.packet, now)).await;
+            Box::pin(self.apply_verdict(verdict, &seg, open.packet, now)).await;
         }
     }
 }
--- a/crates/dillmill-flow/src/balancer.rs
+++ b/crates/dillmill-flow/src/balancer.rs
@@ -22,7 +22,7 @@
 /// Part of the time for a stop that is left for the end of the process itself.
 const STOP_MARGIN: Duration = Duration::from_secs(2);
 /// A planned stop waits for this long without any packet.
-const QUIET: Duration = Duration::from_millis(300);
+const IDLE_BEFORE_STOP: Duration = Duration::from_millis(300);
 
 /// A running balancer of packet flows.
 #[derive(Debug)]
@@ -92,7 +92,7 @@
         compio::time::sleep(WITHDRAWN_AFTER).await;
         loop {
             let before = self.counters.packets.get();
-            compio::time::sleep(QUIET).await;
+            compio::time::sleep(IDLE_BEFORE_STOP).await;
             let quiet = self.counters.packets.get() == before;
             if quiet || handle.clock.now().since(started) >= limit {
                 let cause = if quiet { "no more packets" } else { "limit reached" };
--- a/crates/dillmill-flow/src/balancer_task.rs
+++ b/crates/dillmill-flow/src/balancer_task.rs
@@ -32,7 +32,7 @@
 /// Time between two looks at agents that do not answer.
 const TICK: Duration = Duration::from_millis(100);
 /// For this long after its start a balancer may not know all agents.
-const YOUNG: Duration = Duration::from_secs(2);
+const STARTUP_PERIOD: Duration = Duration::from_secs(2);
 
 /// Whether the routers are to send packets to a balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     Load(LoadReport),
     Flow(FlowMessage),
     /// The search for this flow's owner is to be repeated.
-    Again(FlowTuple),
+    RetrySearch(FlowTuple),
     /// The link takes the next packet.
     LinkFree,
     Tick,
@@ -66,7 +66,7 @@
     uplink: Uplink,
     link_free: flume::Receiver<()>,
     admission: LinkAdmission,
-    early: EarlyPackets,
+    early_packets: EarlyPackets,
     control: SocketAddrV4,
     zone: ZoneName,
     caller_port: u16,
@@ -81,8 +81,8 @@
     started: Timestamp,
     searches: PendingSearches,
     settled: bool,
-    again: flume::Sender<FlowTuple>,
-    repeated: flume::Receiver<FlowTuple>,
+    retry_tx: flume::Sender<FlowTuple>,
+    retry_rx: flume::Receiver<FlowTuple>,
 }
 
 impl BalancerTask {
@@ -101,7 +101,7 @@
     ) -> Result<Self, NodeError> {
         let now = handle.clock.now();
         let (uplink, link_free) = Uplink::new(socket.clone(), settings.link, &handle.metrics, now)?;
-        let (again, repeated) = flume::unbounded();
+        let (retry_tx, retry_rx) = flume::unbounded();
         let log = DecisionLog::new(handle.journal.clone(), now);
         Ok(Self {
             views: handle.views(),
@@ -110,7 +110,7 @@
             uplink,
             link_free,
             admission: LinkAdmission::new(settings.link, now),
-            early: EarlyPackets::default(),
+            early_packets: EarlyPackets::default(),
             control,
             zone: settings.zone.clone(),
             caller_port: settings.packets.port(),
@@ -125,8 +125,8 @@
             started: now,
             searches: PendingSearches::default(),
             settled: false,
-            again,
-            repeated,
+            retry_tx,
+            retry_rx,
         })
     }
 
@@ -140,7 +140,7 @@
             datagrams(self.socket.clone()).map(Event::Packet).boxed_local(),
             loads.into_stream().map(|(_, report)| Event::Load(report)).boxed_local(),
             flows.into_stream().map(|(_, message)| Event::Flow(message)).boxed_local(),
-            self.repeated.clone().into_stream().map(Event::Again).boxed_local(),
+            self.retry_rx.clone().into_stream().map(Event::RetrySearch).boxed_local(),
             self.link_free.clone().into_stream().map(|()| Event::LinkFree).boxed_local(),
             ticks(TICK).map(|()| Event::Tick).boxed_local(),
         ]);
@@ -150,15 +150,15 @@
                 self.placement.reset_silence(now);
             }
             if let Some(view) = self.views.newer() {
-                self.take_view(&view, now);
+                self.apply_view(&view, now);
             }
-            self.route_early(now).await;
+            self.route_early_packets(now).await;
             match event {
                 Event::Packet(buf) => self.packet(&buf, now).await,
                 Event::Load(report) => self.placement.report(report),
                 Event::Flow(message) => self.message(message, now).await,
-                Event::Again(flow) => {
-                    self.search_again(flow, SearchScope::Directories, now).await;
+                Event::RetrySearch(flow) => {
+                    self.retry_search(flow, SearchScope::Directories, now).await;
                 }
                 Event::LinkFree => self.uplink.release(now).await,
                 Event::Tick => self.tick(now).await,
@@ -166,7 +166,7 @@
         }
     }
 
-    fn take_view(&mut self, view: &View, now: Timestamp) {
+    fn apply_view(&mut self, view: &View, now: Timestamp) {
         if view.settled && !self.settled {
             self.searches.restart_repeats(now);
         }
@@ -189,8 +189,8 @@
     }
 
     /// Routes the packets that came before anything was known.
-    async fn route_early(&mut self, now: Timestamp) {
-        for EarlyPacket { at, buf } in self.early.take_due(now) {
+    async fn route_early_packets(&mut self, now: Timestamp) {
+        for EarlyPacket { at, buf } in self.early_packets.take_due(now) {
             if let Ok(seg) = packet::decode(&buf, Sender::Caller) {
                 self.route_packet(&seg, &buf, at, now).await;
             }
@@ -199,7 +199,7 @@
 
     /// Returns whether a packet may be routed differently in a moment, as this process has only just started.
     fn is_early(&self, seg: &Segment, now: Timestamp) -> bool {
-        if now.since(self.started) >= YOUNG {
+        if now.since(self.started) >= STARTUP_PERIOD {
             return false;
         }
         let Some(route) = self.routes.get(seg.flow.route()) else { return self.routes.is_empty() };
@@ -207,9 +207,9 @@
     }
 
     async fn tick(&mut self, now: Timestamp) {
-        self.open_waiting(now).await;
+        self.open_queued(now).await;
         for flow in self.searches.take_due(now) {
-            self.search_again(flow, SearchScope::All, now).await;
+            self.retry_search(flow, SearchScope::All, now).await;
         }
         for to in self.placement.take_probes_due(now) {
             self.handle.send(to, Message::Flow(FlowMessage::AskLoad));
@@ -250,7 +250,7 @@
     async fn route_packet(&mut self, seg: &Segment, buf: &[u8], at: Timestamp, now: Timestamp) {
         if self.is_early(seg, now) {
             let packet = EarlyPacket { at, buf: buf.to_vec() };
-            return self.early.keep(seg.flow, PacketId::from(seg), packet, now);
+            return self.early_packets.keep(seg.flow, PacketId::from(seg), packet, now);
         }
         let routes = self.routes.clone();
         let Some(route) = routes.get(seg.flow.route()) else {
@@ -271,15 +271,15 @@
                 let upload_ended = self.admission.note(seg, now);
                 self.forward(seg, service, &route.services(), buf, now).await;
                 if upload_ended {
-                    self.open_waiting(now).await;
+                    self.open_queued(now).await;
                 }
             }
         }
     }
 
     /// Returns how long after the first proof that nobody holds a flow a second one counts.
-    fn missing_again(&self, now: Timestamp) -> Duration {
-        if now.since(self.started) < YOUNG {
+    fn missing_confirmation_delay(&self, now: Timestamp) -> Duration {
+        if now.since(self.started) < STARTUP_PERIOD {
             MISSING_CONFIRM_DELAY_AT_START
         } else {
             MISSING_CONFIRM_DELAY
@@ -337,12 +337,12 @@
     async fn message(&mut self, message: FlowMessage, now: Timestamp) {
         match message {
             FlowMessage::Owner { flow, owner, data } => {
-                self.found(flow, Owner { process: owner, data }, now).await;
+                self.record_owner(flow, Owner { process: owner, data }, now).await;
             }
             FlowMessage::Missing { flow, caller_expects } => {
-                let apart = self.missing_again(now);
-                if !self.owners.missing(flow, apart, now) {
-                    self.search_later(flow, apart);
+                let confirm_after = self.missing_confirmation_delay(now);
+                if !self.owners.missing(flow, confirm_after, now) {
+                    self.schedule_search_retry(flow, confirm_after);
                     return;
                 }
                 self.searches.end(&flow);
--- a/crates/dillmill-flow/src/balancer_task/opening.rs
+++ b/crates/dillmill-flow/src/balancer_task/opening.rs
@@ -6,7 +6,7 @@
 };
 use dillmill_platform::packet::{self, Sender};
 
-use super::{BalancerTask, YOUNG};
+use super::{BalancerTask, STARTUP_PERIOD};
 
 impl BalancerTask {
     /// Returns whether a new flow may begin; if not, its opening packet waits until the link can carry it.
@@ -47,7 +47,7 @@
     }
 
     /// Opens the flows that have waited for the link and have their turn.
-    pub(super) async fn open_waiting(&mut self, now: Timestamp) {
+    pub(super) async fn open_queued(&mut self, now: Timestamp) {
         for open in self.admission.take_lost(now) {
             self.counters.refused.inc();
             self.log.flow(now, &open.flow, "refused", || "waited for the link in vain".to_owned());
@@ -74,16 +74,16 @@
         buf: &[u8],
         now: Timestamp,
     ) {
-        let before = self.owners.get(&seg.flow, now).filter(|_| copies > 0);
-        let again = before.filter(|owner| {
+        let previous = self.owners.get(&seg.flow, now).filter(|_| copies > 0);
+        let same_owner = previous.filter(|owner| {
             !self.placement.silent(owner.process, now)
                 && self.agents.taking_new(service).any(|a| a.data == owner.data)
         });
-        let (owner, near) = if let Some(owner) = again {
+        let (owner, near) = if let Some(owner) = same_owner {
             (owner, true)
         } else {
-            let not = before.map(|owner| owner.process);
-            let Some(agent) = self.placement.place(&seg.flow, service, &self.agents, not, now)
+            let excluded = previous.map(|owner| owner.process);
+            let Some(agent) = self.placement.place(&seg.flow, service, &self.agents, excluded, now)
             else {
                 return self.refuse(seg, service, now).await;
             };
@@ -97,7 +97,7 @@
         self.log.flow(now, &seg.flow, format_args!("placed at {}", owner.process), || {
             format!("service {service}, revision {revision}, copies {copies}, near {near}")
         });
-        if before.is_none() {
+        if previous.is_none() {
             self.admission.begin(seg.flow, now);
         }
         self.owners.set(seg.flow, owner, now);
@@ -108,7 +108,7 @@
     /// Refuses a new flow that no agent can take, so that the caller's next try comes soon. A
     /// balancer that has only just started may not know all agents yet, and waits for the copy.
     async fn refuse(&mut self, seg: &Segment, service: ServiceTag, now: Timestamp) {
-        if now.since(self.started) < YOUNG {
+        if now.since(self.started) < STARTUP_PERIOD {
             return self.counters.dropped.inc();
         }
         self.counters.refused.inc();
--- a/crates/dillmill-flow/src/balancer_task/searching.rs
+++ b/crates/dillmill-flow/src/balancer_task/searching.rs
@@ -67,17 +67,17 @@
     }
 
     /// Has a search that found nobody repeated: the caller's own next try may come too late.
-    pub(super) fn search_later(&self, flow: FlowTuple, after: Duration) {
-        let again = self.again.clone();
+    pub(super) fn schedule_search_retry(&self, flow: FlowTuple, after: Duration) {
+        let retry_tx = self.retry_tx.clone();
         compio::runtime::spawn(async move {
             compio::time::sleep(after).await;
             // Fails only when the task has ended.
-            let _ = again.send(flow);
+            let _ = retry_tx.send(flow);
         })
         .detach();
     }
 
-    pub(super) async fn search_again(
+    pub(super) async fn retry_search(
         &mut self,
         flow: FlowTuple,
         scope: SearchScope,
@@ -100,7 +100,7 @@
     }
 
     /// Remembers the owner of a flow, and sends it the packets that have waited for that.
-    pub(super) async fn found(&mut self, flow: FlowTuple, owner: Owner, now: Timestamp) {
+    pub(super) async fn record_owner(&mut self, flow: FlowTuple, owner: Owner, now: Timestamp) {
         self.owners.set(flow, owner, now);
         let agent = self.agents.at(owner.data).map(|agent| agent.service);
         for buf in self.searches.end(&flow) {
--- a/crates/dillmill-flow/src/decision_log.rs
+++ b/crates/dillmill-flow/src/decision_log.rs
@@ -7,35 +7,35 @@
 use dillmill_node::Journal;
 
 /// Lines a second, well above what a busy balancer decides on.
-const RATE: u32 = 200;
+const LINES_PER_SECOND: u32 = 200;
 /// Lines at once after a quiet time.
-const BURST: u32 = 400;
+const MAX_BUDGET: u32 = 400;
 
 /// Writes decisions into the log while a budget of lines lasts, and counts the rest.
 #[derive(Debug)]
 pub struct DecisionLog {
     journal: Journal,
     budget: u32,
-    refilled: Timestamp,
-    left_out: u64,
+    refilled_at: Timestamp,
+    suppressed: u64,
 }
 
 impl DecisionLog {
     /// Creates a log.
     #[must_use]
     pub fn new(journal: Journal, now: Timestamp) -> Self {
-        Self { journal, budget: BURST, refilled: now, left_out: 0 }
+        Self { journal, budget: MAX_BUDGET, refilled_at: now, suppressed: 0 }
     }
 
     fn take(&mut self, now: Timestamp) -> bool {
-        let gained = now.since(self.refilled).as_millis() * u128::from(RATE) / 1000;
+        let gained = now.since(self.refilled_at).as_millis() * u128::from(LINES_PER_SECOND) / 1000;
         if gained > 0 {
-            let gained = u32::try_from(gained).unwrap_or(BURST);
-            self.budget = self.budget.saturating_add(gained).min(BURST);
-            self.refilled = now;
+            let gained = u32::try_from(gained).unwrap_or(MAX_BUDGET);
+            self.budget = self.budget.saturating_add(gained).min(MAX_BUDGET);
+            self.refilled_at = now;
         }
         if self.budget == 0 {
-            self.left_out += 1;
+            self.suppressed += 1;
             return false;
         }
         self.budget -= 1;
@@ -62,9 +62,9 @@
         if !self.take(now) {
             return;
         }
-        if self.left_out > 0 {
-            let left_out = std::mem::take(&mut self.left_out);
-            let what = format!("{left_out} decisions not logged");
+        if self.suppressed > 0 {
+            let suppressed = std::mem::take(&mut self.suppressed);
+            let what = format!("{suppressed} decisions not logged");
             self.journal.log_only(EventKind::Flow, &what, "more than the log takes");
         }
         let (what, cause) = text();
@@ -74,6 +74,6 @@
 
 /// Time that has passed, for a log line.
 #[must_use]
-pub fn age(span: Duration) -> String {
+pub fn format_millis(span: Duration) -> String {
     format!("{} ms", span.as_millis())
 }
--- a/crates/dillmill-flow/src/operator_watch.rs
+++ b/crates/dillmill-flow/src/operator_watch.rs
@@ -21,37 +21,37 @@
 use error_stack::Report;
 use rand::Rng;
 
-use crate::session::SIZE_KEY;
+use crate::session::FLEET_SIZE_KEY;
 use crate::unreadable;
 
 /// Longest wait of one watch: every watch that ends empty is a call that is paid for. A watch that is cut
 /// without a word is noticed sooner, as the lease is not renewed then either.
-const WATCH: Duration = Duration::from_secs(25);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(25);
 /// Wait between two events: changes that come faster are read as one.
-const GATHER: Duration = Duration::from_millis(100);
+const COALESCE_DELAY: Duration = Duration::from_millis(100);
 /// How long a process that starts waits for its peers' routes before it reads the store: when all start at once, the
 /// few that all others join through read it, and pass the routes on before most others would.
-const PEERS_FIRST: StartPatience = StartPatience {
+const PEER_WAIT: StartPatience = StartPatience {
     base: Duration::from_millis(100),
     spread: Duration::from_millis(300),
     per_process: Duration::from_micros(1500),
 };
 /// The same while none of those few has answered: they may start last.
-const ALONE_FIRST: StartPatience = StartPatience {
+const PEER_WAIT_ALONE: StartPatience = StartPatience {
     base: Duration::from_millis(30),
     spread: Duration::from_millis(120),
     per_process: Duration::from_micros(1500),
 };
 /// The same for those few.
-const NAMED_FIRST_MS: Range<u64> = 0..50;
+const PEER_WAIT_SEED_MS: Range<u64> = 0..50;
 /// The same when the whole system starts for the first time, seconds before any traffic.
-const FIRST_START_MS: Range<u64> = 500..4000;
+const PEER_WAIT_FIRST_START_MS: Range<u64> = 500..4000;
 /// How often it is looked meanwhile whether peers have told.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Wait after a failed call.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// How often a process without the duty looks whether it has it now.
-const OFF_DUTY: Duration = Duration::from_millis(250);
+const OFF_DUTY_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Watches what operators keep for as long as the process lives.
 #[derive(Debug)]
@@ -64,33 +64,33 @@
     started: Timestamp,
     /// What is read may be seconds old while this process only wants to begin: keepers watch for what is newer.
     freshness: Freshness,
-    waits: Waits,
+    peer_wait: PeerWait,
 }
 
 /// How a process waits for the routes of peers after its start.
 #[derive(Debug, Clone, Copy)]
-enum Waits {
+enum PeerWait {
     /// For this long.
-    For(Duration),
+    Fixed(Duration),
     /// As long as the share of this process in the patience of all.
-    Share(f64),
+    Scaled(f64),
 }
 
-fn draw(ms: Range<u64>) -> Waits {
-    Waits::For(Duration::from_millis(rand::rng().random_range(ms)))
+fn random_wait(ms: Range<u64>) -> PeerWait {
+    PeerWait::Fixed(Duration::from_millis(rand::rng().random_range(ms)))
 }
 
-type Step<T> = Result<T, Report<PlatformError>>;
+type StoreResult<T> = Result<T, Report<PlatformError>>;
 
 impl OperatorWatch {
     /// Starts the task.
     pub fn spawn(node: &Node, settings: &ProcessSettings) {
-        let waits = if settings.first_start {
-            draw(FIRST_START_MS)
+        let peer_wait = if settings.first_start {
+            random_wait(PEER_WAIT_FIRST_START_MS)
         } else if settings.is_seed() {
-            draw(NAMED_FIRST_MS)
+            random_wait(PEER_WAIT_SEED_MS)
         } else {
-            Waits::Share(rand::rng().random())
+            PeerWait::Scaled(rand::rng().random())
         };
         let watch = Self {
             store: node.store.clone(),
@@ -100,7 +100,7 @@
             after: None,
             started: node.handle.started,
             freshness: if settings.is_seed() { Freshness::Newest } else { Freshness::MayBeStale },
-            waits,
+            peer_wait,
         };
         compio::runtime::spawn(watch.run()).detach();
     }
@@ -111,13 +111,13 @@
             self.view = self.views.newer().or(self.view.take());
             if self.on_duty() {
                 self.freshness = Freshness::Newest;
-            } else if self.is_told() {
+            } else if self.has_peer_data() {
                 self.after = None;
-                compio::time::sleep(OFF_DUTY).await;
+                compio::time::sleep(OFF_DUTY_POLL_INTERVAL).await;
                 continue;
             }
-            let pause = match self.step().await {
-                Ok(()) => GATHER,
+            let pause = match self.poll_store().await {
+                Ok(()) => COALESCE_DELAY,
                 Err(report) => {
                     self.after = None;
                     self.handle.metrics.platform_errors.inc();
@@ -127,7 +127,7 @@
                         "operators' entries not read",
                         cause,
                     );
-                    RETRY
+                    RETRY_DELAY
                 }
             };
             compio::time::sleep(pause).await;
@@ -136,40 +136,42 @@
 
     /// Waits until peers have told, or it is time to ask the store; first for the fleet's size, which tells when that is.
     async fn wait_for_peers(&mut self) {
-        let mut asked = false;
+        let mut size_read = false;
         loop {
             self.view = self.views.newer().or(self.view.take());
-            if self.is_told() {
+            if self.has_peer_data() {
                 return;
             }
-            if self.is_patience_over() {
-                if asked || matches!(self.waits, Waits::For(_)) {
+            if self.is_peer_wait_over() {
+                if size_read || matches!(self.peer_wait, PeerWait::Fixed(_)) {
                     return;
                 }
-                asked = true;
+                size_read = true;
                 if let Err(report) = self.read_size().await {
                     self.handle.metrics.platform_errors.inc();
                     let cause = report.current_context().to_string();
                     self.handle.journal.record(EventKind::Platform, "size not read", cause);
                 }
             }
-            compio::time::sleep(LOOK_EVERY).await;
+            compio::time::sleep(PEER_POLL_INTERVAL).await;
         }
     }
 
-    fn is_told(&self) -> bool {
-        let told = |view: &Arc<View>| view.routes.is_some() && view.evacuations.is_some();
-        self.view.as_ref().is_some_and(told)
+    fn has_peer_data(&self) -> bool {
+        let complete = |view: &Arc<View>| view.routes.is_some() && view.evacuations.is_some();
+        self.view.as_ref().is_some_and(complete)
     }
 
-    fn is_patience_over(&self) -> bool {
+    fn is_peer_wait_over(&self) -> bool {
         let waited = self.handle.clock.now().since(self.started);
         let size = self.view.as_ref().map_or(FleetSize(0), |view| view.stored_size.size);
         let alone = self.view.as_ref().is_none_or(|view| view.members.len() <= 1);
-        match self.waits {
-            Waits::For(patience) => waited >= patience,
-            Waits::Share(share) if alone => waited >= ALONE_FIRST.of(share, size),
-            Waits::Share(share) => waited >= PEERS_FIRST.of(share, size),
+        match self.peer_wait {
+            PeerWait::Fixed(wait) => waited >= wait,
+            PeerWait::Scaled(random_share) if alone => {
+                waited >= PEER_WAIT_ALONE.of(random_share, size)
+            }
+            PeerWait::Scaled(random_share) => waited >= PEER_WAIT.of(random_share, size),
         }
     }
 
@@ -181,17 +183,17 @@
             && store_duty::on_duty(view.me.process, members, store_duty::WATCHERS)
     }
 
-    async fn step(&mut self) -> Step<()> {
-        let Some(after) = self.after else { return self.read().await };
-        match self.store.watch(operator_key::PREFIX, after, WATCH).await? {
+    async fn poll_store(&mut self) -> StoreResult<()> {
+        let Some(after) = self.after else { return self.read_all().await };
+        match self.store.watch(operator_key::PREFIX, after, WATCH_TIMEOUT).await? {
             WatchOutcome::HistoryCompacted => {
                 let cause = format!("store has forgotten what came after {after}");
                 self.handle.journal.record(EventKind::Platform, "watch starts again", cause);
-                self.read().await
+                self.read_all().await
             }
             WatchOutcome::Changes(changes) => {
-                unreadable::note(&self.handle, &changes.unreadable);
-                self.take_changes(&changes);
+                unreadable::record_entries(&self.handle, &changes.unreadable);
+                self.apply_changes(&changes);
                 self.after = Some(changes.current.max(after));
                 Ok(())
             }
@@ -199,20 +201,23 @@
     }
 
     /// Reads all that operators keep, and from where a watch can go on.
-    async fn read(&mut self) -> Step<()> {
+    async fn read_all(&mut self) -> StoreResult<()> {
         let mut entries: Vec<Entry> = Vec::new();
         let mut current = None;
-        let mut behind = String::new();
+        let mut last_key_read = String::new();
         loop {
-            let page = self.store.list(operator_key::PREFIX, &behind, self.freshness).await?;
+            let page =
+                self.store.list(operator_key::PREFIX, &last_key_read, self.freshness).await?;
             // What changes while later pages are read is told by the watch again.
             current.get_or_insert(page.current);
-            unreadable::note(&self.handle, &page.unreadable);
-            let next =
-                page.last_key().filter(|key| page.more && **key > *behind).map(str::to_owned);
+            unreadable::record_entries(&self.handle, &page.unreadable);
+            let next = page
+                .last_key()
+                .filter(|key| page.more && **key > *last_key_read)
+                .map(str::to_owned);
             entries.extend(page.entries);
             match next {
-                Some(key) => behind = key,
+                Some(key) => last_key_read = key,
                 None => break,
             }
         }
@@ -229,24 +234,24 @@
     }
 
     /// Reads how many processes there were, unless somebody has told already.
-    async fn read_size(&self) -> Step<()> {
+    async fn read_size(&self) -> StoreResult<()> {
         let known = |view: &Arc<View>| view.stored_size != StoredSize::default();
         if self.view.as_ref().is_some_and(known) {
             return Ok(());
         }
-        let Some(entry) = self.store.get(SIZE_KEY, Freshness::MayBeStale).await? else {
+        let Some(entry) = self.store.get(FLEET_SIZE_KEY, Freshness::MayBeStale).await? else {
             return Ok(());
         };
         match std::str::from_utf8(&entry.value).ok().and_then(|text| text.parse().ok()) {
             Some(size) => {
                 self.handle.put_stored_size(StoredSize { size, version: entry.version.0 });
             }
-            None => unreadable::note_one(&self.handle, &entry.key, "not a number of processes"),
+            None => unreadable::record_entry(&self.handle, &entry.key, "not a number of processes"),
         }
         Ok(())
     }
 
-    fn take_changes(&self, changes: &Changes) {
+    fn apply_changes(&self, changes: &Changes) {
         let ordered: Vec<_> =
             changes.entries.iter().filter_map(operator_key::evacuation_change).collect();
         if !ordered.is_empty() {
@@ -266,7 +271,7 @@
 
     fn take(&self, entry: &Entry) {
         match OperatorKey::from(entry.key.as_str()) {
-            OperatorKey::Document => self.take_document(entry),
+            OperatorKey::Document => self.apply_document(entry),
             OperatorKey::Evacuation(_) => {}
             OperatorKey::Unknown => {
                 let what = format!("`{}` of the operators not used", entry.key);
@@ -276,7 +281,7 @@
         }
     }
 
-    fn take_document(&self, entry: &Entry) {
+    fn apply_document(&self, entry: &Entry) {
         match document::decode(&entry.value) {
             Ok(routes) => {
                 let source = format!("store version {}", entry.version);
--- a/crates/dillmill-flow/src/presence.rs
+++ b/crates/dillmill-flow/src/presence.rs
@@ -11,14 +11,14 @@
 use dillmill_core::flow_gate::TargetPresence;
 
 /// The target is on the same VM: only one that stands still takes this long.
-pub const PATIENCE: Duration = Duration::from_millis(500);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The same for an agent that has other things to start.
-pub const FIRST_PATIENCE: Duration = Duration::from_millis(20);
+pub const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Tries once to connect to the target, for as long as `patience`.
-pub async fn look(target: SocketAddrV4, patience: Duration) -> TargetPresence {
-    match compio::time::timeout(patience, TcpStream::connect(target)).await {
+/// Tries once to connect to the target, for as long as `limit`.
+pub async fn probe(target: SocketAddrV4, limit: Duration) -> TargetPresence {
+    match compio::time::timeout(limit, TcpStream::connect(target)).await {
         Ok(Ok(_)) => TargetPresence::Present,
         Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => TargetPresence::Absent,
         // Neither an answer nor a refusal proves anything.
--- a/crates/dillmill-flow/src/reload.rs
+++ b/crates/dillmill-flow/src/reload.rs
@@ -12,21 +12,21 @@
 use futures_util::pin_mut;
 
 /// How often the file's time is looked at: it may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const FILE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Watches the settings file of a process.
 ///
 /// Good settings are taken over as far as a running process can; of the rest the log says that they
 /// need a restart. Wrong ones change nothing, and the log says what is wrong and where.
-pub struct Reload {
+pub struct SettingsReloader {
     path: PathBuf,
     current: ProcessSettings,
     stop_limit: Rc<Cell<Duration>>,
     journal: Journal,
-    read_at: Option<SystemTime>,
+    read_modified_at: Option<SystemTime>,
 }
 
-impl Reload {
+impl SettingsReloader {
     /// Starts the task; `stop_limit` is replaced when the file gives another one.
     pub fn spawn(
         path: PathBuf,
@@ -35,8 +35,8 @@
         journal: Journal,
         hang_ups: HangUps,
     ) {
-        let read_at = modified(&path);
-        let reload = Self { path, current, stop_limit, journal, read_at };
+        let read_modified_at = modified(&path);
+        let reload = Self { path, current, stop_limit, journal, read_modified_at };
         compio::runtime::spawn(reload.run(hang_ups)).detach();
     }
 
@@ -44,25 +44,25 @@
         loop {
             let signalled = {
                 let signal = hang_ups.next();
-                let look = self.changed();
-                pin_mut!(signal, look);
-                matches!(select(signal, look).await, Either::Left(_))
+                let change = self.wait_for_change();
+                pin_mut!(signal, change);
+                matches!(select(signal, change).await, Either::Left(_))
             };
-            self.read(if signalled { "signal" } else { "the file has changed" });
+            self.reload_file(if signalled { "signal" } else { "the file has changed" });
         }
     }
 
-    async fn changed(&self) {
+    async fn wait_for_change(&self) {
         loop {
-            compio::time::sleep(LOOK_EVERY).await;
-            if modified(&self.path) != self.read_at {
+            compio::time::sleep(FILE_POLL_INTERVAL).await;
+            if modified(&self.path) != self.read_modified_at {
                 return;
             }
         }
     }
 
-    fn read(&mut self, cause: &str) {
-        self.read_at = modified(&self.path);
+    fn reload_file(&mut self, cause: &str) {
+        self.read_modified_at = modified(&self.path);
         let settings = match ProcessSettings::open(&self.path) {
             Ok(settings) => settings,
             Err(e) => {
--- a/crates/dillmill-flow/src/sockets.rs
+++ b/crates/dillmill-flow/src/sockets.rs
@@ -11,7 +11,7 @@
 /// Room for one datagram: a packet of 1,234 bytes behind an envelope.
 const MAX_DATAGRAM: usize = 2048;
 /// Wait after a socket has failed, so that a broken one does not take the whole processor.
-const AFTER_ERROR: Duration = Duration::from_millis(5);
+const ERROR_BACKOFF: Duration = Duration::from_millis(5);
 
 /// Binds a datagram socket.
 ///
@@ -31,7 +31,7 @@
                 Ok(_) => return Some((buf, socket)),
                 // An earlier datagram met a closed port, or the socket is out of memory: the next
                 // one may come all the same.
-                Err(_) => compio::time::sleep(AFTER_ERROR).await,
+                Err(_) => compio::time::sleep(ERROR_BACKOFF).await,
             }
         }
     })
@@ -43,10 +43,10 @@
     outcome.is_ok()
 }
 
-/// Returns an item every `every`.
-pub fn ticks(every: Duration) -> impl Stream<Item = ()> {
+/// Returns an item every `interval`.
+pub fn ticks(interval: Duration) -> impl Stream<Item = ()> {
     stream::unfold((), move |()| async move {
-        compio::time::sleep(every).await;
+        compio::time::sleep(interval).await;
         Some(((), ()))
     })
 }
--- a/crates/dillmill-flow/src/unreadable.rs
+++ b/crates/dillmill-flow/src/unreadable.rs
@@ -5,19 +5,19 @@
 use dillmill_platform::UnreadableEntry;
 
 /// Lines for one answer of the store; the counter tells of the rest.
-const LINES: usize = 4;
+const MAX_LINES: usize = 4;
 
 /// Counts and logs entries that can't be read.
-pub(crate) fn note(handle: &NodeHandle, entries: &[UnreadableEntry]) {
-    for entry in entries.iter().take(LINES) {
-        note_one(handle, &entry.key, &entry.reason);
+pub(crate) fn record_entries(handle: &NodeHandle, entries: &[UnreadableEntry]) {
+    for entry in entries.iter().take(MAX_LINES) {
+        record_entry(handle, &entry.key, &entry.reason);
     }
-    let rest = entries.len().saturating_sub(LINES);
+    let rest = entries.len().saturating_sub(MAX_LINES);
     handle.metrics.platform_unreadable.inc_by(u64::try_from(rest).unwrap_or(u64::MAX));
 }
 
 /// Counts and logs one entry that can't be used.
-pub(crate) fn note_one(handle: &NodeHandle, key: &str, reason: &str) {
+pub(crate) fn record_entry(handle: &NodeHandle, key: &str, reason: &str) {
     handle.metrics.platform_unreadable.inc();
     handle.journal.record(EventKind::Platform, format!("entry `{key}` not used"), reason);
 }
--- a/crates/dillmill-flow/src/uplink.rs
+++ b/crates/dillmill-flow/src/uplink.rs
@@ -19,9 +19,9 @@
     traffic: Traffic,
     /// Bytes sent past the queue that it has been charged with.
     charged: u64,
-    free: flume::Sender<()>,
+    link_free: flume::Sender<()>,
     /// A timer for the next packet runs.
-    waits: bool,
+    timer_running: bool,
     counters: UplinkCounters,
 }
 
@@ -61,14 +61,14 @@
         metrics: &Metrics,
         now: Timestamp,
     ) -> Result<(Self, flume::Receiver<()>), NodeError> {
-        let (free, released) = flume::unbounded();
+        let (link_free, released) = flume::unbounded();
         let uplink = Self {
             socket,
             queue: LinkQueue::new(rate, now),
             traffic: metrics.traffic.clone(),
             charged: 0,
-            free,
-            waits: false,
+            link_free,
+            timer_running: false,
             counters: UplinkCounters::new(metrics)?,
         };
         Ok((uplink, released))
@@ -86,12 +86,12 @@
         match self.queue.offer(departure, now) {
             Admission::Leave(departure) => {
                 self.traffic.sent(kind, len);
-                self.depart(departure).await;
+                self.transmit(departure).await;
                 None
             }
             Admission::Wait => {
                 self.traffic.sent(kind, len);
-                self.wait();
+                self.count_waiting();
                 None
             }
             Admission::Replaced => {
@@ -100,7 +100,7 @@
             }
             Admission::Dropped(flow) => {
                 self.counters.dropped.inc();
-                self.wait();
+                self.count_waiting();
                 Some(flow)
             }
         }
@@ -122,23 +122,23 @@
 
     /// Sends what the link takes now.
     pub async fn release(&mut self, now: Timestamp) {
-        self.waits = false;
+        self.timer_running = false;
         self.charge();
         while let Some(departure) = self.queue.take(now) {
-            self.depart(departure).await;
+            self.transmit(departure).await;
         }
-        self.arm();
+        self.arm_timer();
     }
 
-    async fn depart(&self, departure: Departure) {
+    async fn transmit(&self, departure: Departure) {
         if !sockets::send(&self.socket, departure.buf, departure.to).await {
             self.counters.failed.inc();
         }
     }
 
-    fn wait(&mut self) {
+    fn count_waiting(&mut self) {
         self.counters.waited.inc();
-        self.arm();
+        self.arm_timer();
     }
 
     fn charge(&mut self) {
@@ -148,16 +148,16 @@
     }
 
     /// Sets the timer for the next packet, if one waits and no timer runs.
-    fn arm(&mut self) {
+    fn arm_timer(&mut self) {
         let delay = self.queue.delay();
         self.counters.delay_ms.set(i64::try_from(delay.as_millis()).unwrap_or(i64::MAX));
-        let Some(next_in) = self.queue.next_in().filter(|_| !self.waits) else { return };
-        self.waits = true;
-        let free = self.free.clone();
+        let Some(next_in) = self.queue.next_in().filter(|_| !self.timer_running) else { return };
+        self.timer_running = true;
+        let link_free = self.link_free.clone();
         compio::runtime::spawn(async move {
             compio::time::sleep(next_in).await;
             // Fails only when the task has ended.
-            let _ = free.send(());
+            let _ = link_free.send(());
         })
         .detach();
     }
--- a/crates/dillmill/src/main.rs
+++ b/crates/dillmill/src/main.rs
@@ -5,7 +5,7 @@
 
 use dillmill::command::{self, Command, RoleCommand, Source};
 use dillmill::{Agent, Balancer, NodeError, ProcessConfig};
-use dillmill_flow::reload::Reload;
+use dillmill_flow::reload::SettingsReloader;
 use dillmill_flow::{FlowAgent, FlowBalancer};
 use dillmill_node::config::AgentConfig;
 use dillmill_node::hang_up::HangUps;
@@ -92,14 +92,14 @@
         RoleCommand::Balancer => {
             let balancer = FlowBalancer::spawn(&settings, metrics_port).await?;
             let journal = balancer.node.handle.journal.clone();
-            Reload::spawn(path, settings, balancer.stop_limit.clone(), journal, hang_ups);
+            SettingsReloader::spawn(path, settings, balancer.stop_limit.clone(), journal, hang_ups);
             stop::requested().await;
             stop_or_second(balancer.stop()).await
         }
         RoleCommand::Agent => {
             let agent = FlowAgent::spawn(&settings, metrics_port).await?;
             let journal = agent.node.handle.journal.clone();
-            Reload::spawn(path, settings, agent.stop_limit.clone(), journal, hang_ups);
+            SettingsReloader::spawn(path, settings, agent.stop_limit.clone(), journal, hang_ups);
             stop::requested().await;
             stop_or_second(agent.stop()).await
         }
