--- a/crates/dillmill-balancer/src/balancer.rs
+++ b/crates/dillmill-balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer's process.
+//! Starts and stops a balancer process, and binds a socket for each service.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -26,12 +26,12 @@
 const STOP_LIMIT: Duration = Duration::from_mins(1);
 const MIN_STOP_TIME: Duration = Duration::from_secs(3);
 
-/// Counters of a balancer.
+/// Metrics of a balancer.
 #[derive(Debug, Clone)]
 pub struct BalancerMetrics {
     /// Packets forwarded to agents.
     pub forwarded: IntCounter,
-    /// Of these, packets that may start a flow.
+    /// Forwarded packets that may start a flow.
     pub first_packets: IntCounter,
     /// Packets returned to callers.
     pub returned: IntCounter,
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Returns the counter of a reason.
+    /// Returns the counter of packets dropped for `reason`.
     #[must_use]
     pub fn dropped(&self, reason: DropReason) -> &IntCounter {
         let i = DropReason::ALL.iter().position(|r| *r == reason).unwrap_or(0);
@@ -63,7 +63,7 @@
 /// A running balancer.
 #[derive(Debug)]
 pub struct Balancer {
-    /// Its control task.
+    /// Handle of the process's control task.
     pub node: Node,
     metrics: BalancerMetrics,
 }
@@ -74,7 +74,7 @@
     _task: JoinHandle<()>,
 }
 
-/// Says which socket answers of a service leave from.
+/// Sets or removes the socket from which answers of a service are sent.
 struct ReturnSocket {
     service: ServiceNumber,
     socket: Option<UdpSocket>,
@@ -113,7 +113,7 @@
         Ok(Self { node, metrics })
     }
 
-    /// Stops as planned: says so, forwards until no packet comes any more, then ends.
+    /// Stops gracefully: announces the stop, forwards until no more packets come, then ends.
     pub async fn stop(self) {
         let handle = &self.node.handle;
         handle.leave();
@@ -122,9 +122,9 @@
         loop {
             let before = self.metrics.forwarded.get();
             compio::time::sleep(IDLE_BEFORE_STOP).await;
-            let quiet = self.metrics.forwarded.get() == before;
-            if quiet || handle.clock.now().since(started) >= STOP_LIMIT {
-                let cause = if quiet { "no more packets" } else { "limit reached" };
+            let idle = self.metrics.forwarded.get() == before;
+            if idle || handle.clock.now().since(started) >= STOP_LIMIT {
+                let cause = if idle { "no more packets" } else { "limit reached" };
                 handle.journal.record(EventKind::Process, "balancer stopped", cause);
                 break;
             }
@@ -133,7 +133,7 @@
     }
 }
 
-/// Keeps one bound socket for each service of the settings.
+/// Keeps one bound socket for each service in the settings.
 struct ServiceSockets {
     handle: NodeHandle,
     bind: Option<Ipv4Addr>,
@@ -208,7 +208,7 @@
     }
 }
 
-/// Sends answers of agents to callers, each from its service's address.
+/// Sends answers of agents to callers, each from the address of its service.
 async fn return_packets(
     data: UdpSocket,
     sockets: flume::Receiver<ReturnSocket>,
--- a/crates/dillmill-balancer/src/lib.rs
+++ b/crates/dillmill-balancer/src/lib.rs
@@ -1,7 +1,6 @@
-//! The balancer: routes packets of callers to agents and answers back, without flow state.
+//! Balancer that routes packets of callers to agents, and answers back to callers, without flow state.
 //!
-//! [`route`] decides, from a packet, the settings and the members alone; [`Balancer`] owns the
-//! sockets.
+//! [`route`] decides from only the packet, the settings and the members; [`Balancer`] owns the sockets.
 
 pub mod balancer;
 pub mod route;
--- a/crates/dillmill-balancer/src/route.rs
+++ b/crates/dillmill-balancer/src/route.rs
@@ -1,16 +1,16 @@
-//! Where a packet goes.
+//! Decides to which agent a caller's packet is forwarded.
 
 use std::net::SocketAddrV4;
 
 use dillmill_core::{FlowIdError, FlowKeys, HomeTable, ServiceNumber};
 use dillmill_wire::{Destination, packet_destination};
 
-/// What a service's packets are routed by.
+/// Data by which the packets of one service are routed.
 #[derive(Debug, Clone)]
 pub struct ServiceRouter {
-    /// The service.
+    /// Number of the service that is routed.
     pub service: ServiceNumber,
-    /// Keys of connection ids.
+    /// Keys with which connection ids are sealed.
     pub keys: FlowKeys,
     /// Agents that take new flows.
     pub homes: HomeTable,
@@ -19,13 +19,13 @@
 /// Why a packet is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DropReason {
-    /// It is no QUIC.
+    /// The packet is not a QUIC packet.
     #[error("no QUIC packet")]
     NotQuic,
-    /// Its connection id was issued for another service.
+    /// The packet's connection id was issued for another service.
     #[error("connection id of another service")]
     OtherService,
-    /// Its connection id is not one that an agent issued.
+    /// The packet's connection id was not issued by an agent.
     #[error("foreign connection id")]
     Foreign,
     /// No agent of the service takes new flows.
@@ -49,22 +49,22 @@
     }
 }
 
-/// Where a packet goes.
+/// Routing decision for a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
-    /// To the agent that its connection id names.
+    /// Forward to the agent that the packet's connection id names.
     Known(SocketAddrV4),
-    /// To the agent that new flows with its connection id belong to.
+    /// Forward to the home agent of new flows with the packet's connection id.
     First(SocketAddrV4),
-    /// Nowhere.
+    /// Drop the packet.
     Drop(DropReason),
 }
 
 impl ServiceRouter {
-    /// Decides where a datagram of a caller goes.
+    /// Returns the routing decision for a caller's datagram.
     ///
-    /// The agent inside a valid connection id is believed whatever the members' standing: a flow
-    /// outlives every change of the tables, and an agent that is gone answers nothing anyway.
+    /// The agent in a valid connection id is used whatever the status of the members: a flow outlives
+    /// every change of the tables, and an agent that is gone answers nothing anyway.
     #[must_use]
     pub fn route(&self, datagram: &[u8]) -> Route {
         match packet_destination(datagram) {
--- a/crates/dillmill-balancer/src/service_socket.rs
+++ b/crates/dillmill-balancer/src/service_socket.rs
@@ -1,4 +1,4 @@
-//! The task that owns the address of one service.
+//! Task that owns the socket of one service and forwards its packets.
 
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -13,7 +13,7 @@
 
 const MAX_DATAGRAM: usize = 64 * 1024;
 
-/// Forwards datagrams of callers to agents until its task is dropped.
+/// Forwards datagrams of callers to agents until the task is dropped.
 pub(crate) struct ServiceSocket {
     pub(crate) name: ServiceName,
     pub(crate) socket: UdpSocket,
@@ -62,7 +62,7 @@
         out.clear();
         let frame = Frame { service: table.service, caller, hops: 0, balancer: None };
         frame.encode(packet, &mut out);
-        // A packet that can't be sent is a lost packet: QUIC sends it again.
+        // A packet that can't be sent counts as lost: QUIC retransmits its contents.
         let BufResult(_, out) = self.data.send_to(out, SocketAddr::V4(agent)).await;
         self.metrics.forwarded.inc();
         out
--- a/crates/dillmill-balancer/tests/packet_routes.rs
+++ b/crates/dillmill-balancer/tests/packet_routes.rs
@@ -1,4 +1,4 @@
-//! Where packets go, whatever the balancer's view.
+//! Tests of the balancer's routing decisions under different views of the members.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -37,7 +37,7 @@
     [&[0xc0, 0, 0, 0, 1, len], id, &[0, 0, 0x40, 40], &[0; 40]].concat()
 }
 
-/// A flow goes to its agent from every view: full, empty, and without the agent.
+/// An established flow is routed to its agent whatever the view: complete, empty, or without the agent.
 #[rstest]
 #[case(&[1, 2, 3])]
 #[case(&[])]
@@ -87,7 +87,8 @@
     assert_eq!(table(&[1]).route(packet), Route::Drop(DropReason::NotQuic));
 }
 
-/// A version that we don't speak goes to an agent, which answers with those that it does.
+/// A packet of an unsupported QUIC version goes to an agent, which answers with the versions that it
+/// supports.
 #[test]
 fn unknown_version_passed() {
     let mut packet = initial(&[5; 8]);
--- a/crates/dillmill-flow/src/agent.rs
+++ b/crates/dillmill-flow/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's process.
+//! Starts and stops an agent process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,18 +16,18 @@
 use crate::session::Session;
 use crate::{endpoints, presence, sockets};
 
-/// A target that starts with its agent speaks within this time.
+/// Time within which a target that starts together with its agent sends its first heartbeat.
 const FIRST_HEARTBEAT_WAIT: Duration = Duration::from_millis(100);
-/// Part of the time for a stop that is left for the end of the process itself.
+/// Part of the stop limit that is reserved for ending the process itself.
 const STOP_MARGIN: Duration = Duration::from_secs(3);
 
 /// A running agent of packet flows.
 #[derive(Debug)]
 pub struct FlowAgent {
-    /// Its control task.
+    /// Handle of the process's control task.
     pub node: Node,
     stop: flume::Sender<StopRequest>,
-    /// How long a stop may take; a reload may change it.
+    /// Longest time that a stop may take; reloading the settings file can change it.
     pub stop_limit: Rc<Cell<Duration>>,
 }
 
@@ -36,20 +36,22 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be bound, or the settings name no target.
+    /// Fails when an address can't be bound, or the settings specify no service, no target or no address
+    /// for packets from the target.
     pub async fn spawn(
         settings: &ProcessSettings,
         metrics_port: Option<u16>,
     ) -> Result<Self, Report<NodeError>> {
         let missing = |what: &'static str| {
-            NodeError::new("start agent", &settings.vm, format!("the settings name no {what}"))
+            NodeError::new("start agent", &settings.vm, format!("the settings specify no {what}"))
         };
         let service = settings.service.clone().ok_or_else(|| missing("service"))?;
         let target = settings.target.ok_or_else(|| missing("target"))?;
-        let from_target = settings.from_target.ok_or_else(|| missing("address for its packets"))?;
+        let from_target =
+            settings.from_target.ok_or_else(|| missing("address for packets from the target"))?;
         let config = process_config(settings, metrics_port);
         let presence = presence::probe(target, presence::FIRST_CONNECT_TIMEOUT).await;
-        let announcement = Announcement::first(service.clone(), presence);
+        let announcement = Announcement::at_start(service.clone(), presence);
         let spec = NodeSpec {
             role: Role::Agent(service.clone()),
             status: announcement.status,
@@ -84,18 +86,18 @@
         Ok(Self { node, stop, stop_limit: Rc::new(Cell::new(settings.stop_limit)) })
     }
 
-    /// Stops as planned: takes no new flow, lets requests finish, then ends.
+    /// Stops gracefully: takes no new flows, waits for open requests to finish, then ends.
     pub async fn stop(self) {
         let handle = &self.node.handle;
-        handle.journal.record(EventKind::Process, "agent stops", "asked to");
+        handle.journal.record(EventKind::Process, "agent stops", "stop requested");
         let (done, finished) = flume::bounded(1);
         let limit = self.stop_limit.get().saturating_sub(STOP_MARGIN);
         let _ = self.stop.send(StopRequest { done });
         let target_gone = compio::time::timeout(limit, finished.recv_async()).await;
         let cause = if target_gone.is_ok() { "no more requests" } else { "limit reached" };
         handle.journal.record(EventKind::Process, "agent stopped", cause);
-        // While the target lives, its flows do: the others must not take them for gone. The agent is
-        // started again, or its silence tells.
+        // The flows of a live target outlive its agent, so the other processes must not treat them as lost.
+        // Either the agent is restarted, or the others detect its failure by its silence.
         if matches!(target_gone, Ok(Ok(true))) {
             handle.stopped().await;
         }
--- a/crates/dillmill-flow/src/agent_task.rs
+++ b/crates/dillmill-flow/src/agent_task.rs
@@ -1,13 +1,14 @@
-//! Takes packets for a target and from it, and carries out what the gate decides.
+//! Event loop of an agent: receives packets to and from its target and applies the verdicts of the flow
+//! gate.
 //!
-//! | Part | Holds |
+//! | Module | Responsibility |
 //! |---|---|
-//! | `packets` | packets on their way, and what becomes of each |
-//! | `waiting` | opening packets that wait for the target |
-//! | `heartbeats` | what the target says of itself, and what is seen of it |
-//! | `announcement` | what the others are told of the target |
-//! | `directory` | flows remembered for others, and told to them |
-//! | `reports` | load told to balancers |
+//! | `packets` | handling of each packet |
+//! | `waiting` | opening packets queued for the target |
+//! | `heartbeats` | heartbeats of the target, and its observed health |
+//! | `announcement` | what other processes are told about the target |
+//! | `directory` | records of other agents' flows, and registration of own flows with other agents |
+//! | `reports` | load reports to balancers |
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -41,15 +42,16 @@
 mod reports;
 mod waiting;
 
-/// Time between two looks at what is due to be sent. Each wake-up costs; what can't wait is sent at once.
+/// Interval of periodic work. Each wake-up has a cost, so whatever can wait is sent on a tick; what can't
+/// is sent immediately.
 const TICK: Duration = Duration::from_millis(100);
-/// A stop waits at least this long, so that all balancers have heard of it.
+/// A stop waits at least this long, so that all balancers have learnt of it.
 const MIN_STOP_TIME: Duration = Duration::from_millis(300);
 
-/// Asks the task to take no new flow, and to say when no request is left.
+/// Asks the task to take no new flows, and to report when no request is open any more.
 #[derive(Debug)]
 pub struct StopRequest {
-    /// Told when the last request has its answer, and whether the target has ended too.
+    /// Receives a message once the last request is answered: `true` if there is no target any more.
     pub done: flume::Sender<bool>,
 }
 
@@ -60,32 +62,32 @@
     Call(EndpointCall),
     Stop(StopRequest),
     Presence(TargetPresence),
-    /// The link takes the next packet.
+    /// The VM's link can take the next packet.
     LinkFree,
     Tick,
 }
 
-/// What an agent sees of its target's work.
+/// Health of the target, as its agent observes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TargetHealth {
-    /// It answers.
+    /// The target answers requests.
     Sound,
-    /// It leaves everything without an answer.
+    /// The target answers nothing.
     Silent,
-    /// It breaks off what it is given.
+    /// The target breaks off the requests that it is given.
     Failing,
 }
 
-/// A balancer that sends new flows here.
+/// A balancer that sends new flows to this agent and gets load reports in return.
 #[derive(Debug, Clone, Copy)]
 struct ReportSubscriber {
     last_new_flow: Timestamp,
     last_report: Timestamp,
     last_reported: LoadReport,
-    due: bool,
+    flow_since_report: bool,
 }
 
-/// Owns both sockets of an agent and the gate before its target.
+/// State of an agent: its two sockets, the flow gate of its target, and its view of the other processes.
 pub struct AgentTask {
     handle: NodeHandle,
     views: Views,
@@ -105,14 +107,14 @@
     settled: bool,
     registrations: Registrations,
     catch_up: DirectoryCatchUp,
-    /// Since when the others may take this agent for a directory.
+    /// Time since when other processes may use this agent as a flow directory.
     directory_since: Timestamp,
     report_subscribers: HashMap<SocketAddrV4, ReportSubscriber>,
     runs: TargetRuns,
-    /// Packets to ask the target with which flows it holds.
+    /// Caller packets with which the target is queried for the flows that it holds.
     caller_packets: CallerPackets,
     health: TargetHealth,
-    /// What the others have been told of the target, and what they are to be told.
+    /// The announcement that the other processes have, and the one that they are to get next.
     announced: Announcement,
     announcement: Announcement,
     pauses: PauseWatch,
@@ -124,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the name of a metric is taken.
+    /// Fails if a metric name is already registered.
     pub fn new(
         handle: NodeHandle,
         packets: UdpSocket,
@@ -135,7 +137,7 @@
         counters: AgentCounters,
     ) -> Result<Self, NodeError> {
         let now = handle.clock.now();
-        let announcement = Announcement::first(service.clone(), TargetPresence::Unknown);
+        let announcement = Announcement::at_start(service.clone(), TargetPresence::Unknown);
         let (uplink, link_free) =
             Uplink::new(packets.clone(), settings.link, &handle.metrics, now)?;
         let tag = ServiceTag::from(&service);
@@ -171,11 +173,11 @@
         })
     }
 
-    /// Sets what a first attempt to connect to the target has shown, and the others have been told.
+    /// Sets the outcome of the first attempt to connect to the target, which has already been announced.
     #[must_use]
     pub fn presence(mut self, presence: TargetPresence) -> Self {
         self.gate.set_presence(presence);
-        self.announcement = Announcement::first(self.service.clone(), presence);
+        self.announcement = Announcement::at_start(self.service.clone(), presence);
         self.announced = self.announcement.clone();
         self
     }
@@ -200,7 +202,8 @@
         while let Some(event) = events.next().await {
             let now = self.handle.clock.now();
             if self.pauses.was_paused(now) {
-                // What the target has answered meanwhile waits in the socket.
+                // Answers that the target sent during the pause are still in the socket buffer, so the
+                // target must not be taken for silent.
                 self.gate.heard();
             }
             if let Some(view) = self.views.newer() {
@@ -212,8 +215,8 @@
                     self.serve_queue(now).await;
                 }
                 Event::FromTarget(buf) => self.handle_target_packet(buf, now).await,
-                Event::Flow(from, message) => self.message(from, message, now),
-                Event::Call(call) => self.call(call, now).await,
+                Event::Flow(from, message) => self.handle_flow_message(from, message, now),
+                Event::Call(call) => self.handle_call(call, now).await,
                 Event::Stop(request) => self.stop(request, now),
                 Event::Presence(presence) => self.apply_presence(presence),
                 Event::LinkFree => self.uplink.release(now).await,
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Looks for the target once more, if the first look told nothing.
+    /// Probes the target a second time if the first probe was inconclusive.
     fn probe_target_again(&self) -> impl Future<Output = TargetPresence> + use<> {
         let (known, target) = (self.gate.presence(), self.target);
         async move {
@@ -238,7 +241,8 @@
 
     fn apply_view(&mut self, view: &View, now: Timestamp) {
         self.settled = view.settled;
-        // A balancer knows the orders before it knows any route, so what it sends meanwhile is right.
+        // Evacuation orders that are not known yet count as none: a balancer learns the orders before any
+        // route, so the flows that it places meanwhile already respect them.
         let evacuations = view.evacuations.as_deref().cloned().unwrap_or_default();
         self.gate.set_evacuated(evacuations.contains(&self.zone), now);
         let agents = AgentTable::new(view.members(), &self.zone).with_evacuations(&evacuations);
@@ -277,9 +281,9 @@
 
     fn finish_stop(&mut self, now: Timestamp) {
         let Some((request, since)) = &self.stopping else { return };
-        let heard =
+        let propagated =
             now.since(*since) >= MIN_STOP_TIME || self.gate.standing() == TargetStanding::Gone;
-        if heard && self.gate.load(now).requests == 0 {
+        if propagated && self.gate.load(now).requests == 0 {
             let _ = request.done.send(self.gate.has_no_target(now));
             self.stopping = None;
         }
--- a/crates/dillmill-flow/src/agent_task/announcement.rs
+++ b/crates/dillmill-flow/src/agent_task/announcement.rs
@@ -1,4 +1,4 @@
-//! What an agent announces of itself and its target to the other processes.
+//! Announces an agent and its target to the other processes.
 
 use dillmill_core::flow_gate::TargetPresence;
 use dillmill_core::{
@@ -7,7 +7,7 @@
 
 use super::AgentTask;
 
-/// The part of an agent's record that follows from its target.
+/// The fields of an agent's member record that depend on its target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Announcement {
     pub(crate) service: ServiceName,
@@ -17,10 +17,10 @@
 }
 
 impl Announcement {
-    /// Returns what an agent of `service` announces when it starts.
-    pub(crate) fn first(service: ServiceName, presence: TargetPresence) -> Self {
+    /// Returns the announcement of an agent of `service` that has just started.
+    pub(crate) fn at_start(service: ServiceName, presence: TargetPresence) -> Self {
         let (status, coverage) = match presence {
-            // Whichever target comes starts after the agent.
+            // Any target that appears later has started after the agent, so the agent sees all its flows.
             TargetPresence::Absent => (MemberStatus::Empty, FlowCoverage::Complete),
             TargetPresence::Present | TargetPresence::Unknown => {
                 (MemberStatus::Leaving, FlowCoverage::Partial)
@@ -31,7 +31,8 @@
 }
 
 impl AgentTask {
-    /// Announces what has changed: at once and in one record, as each version of it goes to all processes.
+    /// Announces all changes immediately and in a single record, as each version of the record goes to all
+    /// processes.
     pub(super) fn announce(&mut self, now: Timestamp) {
         self.announcement.coverage = self.gate.coverage(now);
         if self.announcement == self.announced {
@@ -39,14 +40,14 @@
         }
         let empty = |announced: &Announcement| announced.status == MemberStatus::Empty;
         if empty(&self.announced) && !empty(&self.announcement) {
-            // From now on it is a directory, of flows that have begun before.
+            // The agent becomes a flow directory now, also for flows that began earlier.
             self.directory_since = now;
             self.catch_up = DirectoryCatchUp::default();
         }
         let announcement = self.announcement.clone();
         if announcement.status != self.announced.status {
             let what = format!("agent is {}", announcement.status);
-            self.handle.journal.record(EventKind::Process, what, "own word");
+            self.handle.journal.record(EventKind::Process, what, "announced by this agent");
         }
         self.announced = announcement.clone();
         self.handle.update_me(move |me| {
--- a/crates/dillmill-flow/src/agent_task/directory.rs
+++ b/crates/dillmill-flow/src/agent_task/directory.rs
@@ -1,4 +1,5 @@
-//! What an agent remembers of the flows of others, and tells others of its own.
+//! Exchange of flow records: an agent stores records for other agents, and registers its own flows with
+//! them.
 
 use std::net::SocketAddrV4;
 
@@ -8,7 +9,12 @@
 use super::AgentTask;
 
 impl AgentTask {
-    pub(super) fn message(&mut self, from: SocketAddrV4, message: FlowMessage, now: Timestamp) {
+    pub(super) fn handle_flow_message(
+        &mut self,
+        from: SocketAddrV4,
+        message: FlowMessage,
+        now: Timestamp,
+    ) {
         match message {
             FlowMessage::Records { number, records } => {
                 for record in records {
@@ -26,7 +32,7 @@
             }
             FlowMessage::RecordsComplete { process } => self.catch_up.answered(process),
             FlowMessage::AskLoad => {
-                let report = self.report(now);
+                let report = self.current_load(now);
                 self.handle.send(from, Message::Load(report));
             }
             FlowMessage::Owner { .. }
@@ -35,7 +41,8 @@
         }
     }
 
-    /// Asks agents for flows that this one is to remember and has not heard of, as it has become a directory after they began.
+    /// Requests from agents the records that this agent should hold but has not received, because it
+    /// became a directory after those flows began.
     pub(super) fn catch_up(&mut self, now: Timestamp) {
         if self.settled {
             self.catch_up.begin(&self.agents, self.handle.process, self.directory_since);
@@ -45,7 +52,7 @@
         }
     }
 
-    /// Tells the directories of flows that are new, or new to them.
+    /// Sends to the directories the records of flows that are new, or new to a directory.
     pub(super) fn register_new(&mut self, now: Timestamp) {
         let new = self.registrations.take_new(&self.agents, self.handle.process, now);
         self.send_records(new);
--- a/crates/dillmill-flow/src/agent_task/heartbeats.rs
+++ b/crates/dillmill-flow/src/agent_task/heartbeats.rs
@@ -1,4 +1,5 @@
-//! What an agent hears of its target, and what it tells the others of it.
+//! Handles the target's heartbeats and leave calls, and derives from them and from its health what is
+//! announced.
 
 use std::time::Duration;
 
@@ -22,7 +23,7 @@
         self.handle.journal.record(EventKind::Member, what, cause);
     }
 
-    pub(super) async fn call(&mut self, call: EndpointCall, now: Timestamp) {
+    pub(super) async fn handle_call(&mut self, call: EndpointCall, now: Timestamp) {
         self.handle_endpoint_call(call, now).await;
         self.announce(now);
     }
@@ -38,13 +39,13 @@
                 });
             }
             EndpointCall::Target(TargetCall::Heartbeat { run, heartbeat }, tx) => {
-                if let Some(why) = self.rejection_reason(&run, &heartbeat) {
-                    self.reject_call(&format!("heartbeat of {run}: {why}"), now);
-                    // Fails only if the caller has gone.
+                if let Some(reason) = self.rejection_reason(&run, &heartbeat) {
+                    self.reject_call(&format!("heartbeat of {run}: {reason}"), now);
+                    // Fails only if the caller has disconnected.
                     let _ = tx.send(CallOutcome::Refused);
                     return;
                 }
-                let change = self.heartbeat(&run, &heartbeat, now);
+                let change = self.apply_heartbeat(&run, &heartbeat, now);
                 let _ = tx.send(CallOutcome::Acknowledged);
                 self.reset_ended_flows(&change.ended, now).await;
                 self.query_target_flows(change.in_doubt, now).await;
@@ -53,9 +54,14 @@
                 let announced = self.gate.standing() == TargetStanding::Leaving;
                 if self.runs.may_end(&run, announced) {
                     let slots = self.gate.slots();
-                    self.set_standing(TargetStanding::Gone, slots, &run, "its own word");
+                    self.set_standing(
+                        TargetStanding::Gone,
+                        slots,
+                        &run,
+                        "leave call of the target",
+                    );
                 } else {
-                    let what = format!("late word of target {run} that it ends");
+                    let what = format!("late leave call of target {run}");
                     self.handle.journal.record(EventKind::Member, what, "not the current run");
                 }
                 let _ = tx.send(CallOutcome::Acknowledged);
@@ -64,8 +70,8 @@
         }
     }
 
-    /// Returns why a heartbeat can't be a target's word: a target serves one service all its life, and a new one
-    /// serves a service that the configuration names.
+    /// Returns why a heartbeat can't come from a valid target: a run of a target serves one service until
+    /// it ends, and a new run must serve a service that the configuration names.
     fn rejection_reason(&self, run: &TargetRun, heartbeat: &Heartbeat) -> Option<String> {
         let service = &heartbeat.service;
         if self.runs.is_current(run) {
@@ -77,12 +83,12 @@
         unknown.then(|| format!("service {service}, which the configuration does not name"))
     }
 
-    fn reject_call(&mut self, why: &str, now: Timestamp) {
+    fn reject_call(&mut self, reason: &str, now: Timestamp) {
         self.counters.heartbeats_refused.inc();
-        self.log.heartbeat_refused(now, why);
+        self.log.heartbeat_refused(now, reason);
     }
 
-    /// Tells the callers of flows that their target has ended.
+    /// Sends a reset to the callers of flows that ended with their target.
     async fn reset_ended_flows(&mut self, ended: &[EndedFlow], now: Timestamp) {
         for EndedFlow { flow, caller_expects } in ended {
             self.log.flow(now, flow, "reset", || "its target has started again".to_owned());
@@ -92,13 +98,16 @@
         }
     }
 
-    /// Asks the target which of these flows it holds, with a copy of a packet that their callers have sent: it
-    /// gives back those of flows that ended with an earlier run.
+    /// Queries the target for the flows that it holds by sending it a copy of a packet of each caller:
+    /// the target returns the packets of flows that ended with an earlier run.
     async fn query_target_flows(&mut self, in_doubt: Vec<FlowTuple>, now: Timestamp) {
         for flow in in_doubt {
             let packet = self.caller_packets.get(&flow).map(<[u8]>::to_vec);
             self.log.flow(now, &flow, "in doubt", || {
-                format!("another run of the target, packet to ask with: {}", packet.is_some())
+                format!(
+                    "the target has a new run, caller packet to query it with: {}",
+                    packet.is_some()
+                )
             });
             if let Some(packet) = packet {
                 self.deliver(packet, 0).await;
@@ -106,8 +115,13 @@
         }
     }
 
-    /// Takes a heartbeat in; returns what becomes of flows that an earlier run of the target has taken.
-    fn heartbeat(&mut self, run: &TargetRun, heartbeat: &Heartbeat, now: Timestamp) -> RunChange {
+    /// Applies a heartbeat; returns what happens to flows that an earlier run of the target accepted.
+    fn apply_heartbeat(
+        &mut self,
+        run: &TargetRun,
+        heartbeat: &Heartbeat,
+        now: Timestamp,
+    ) -> RunChange {
         let change = match self.runs.heartbeat(run, heartbeat.number, now) {
             HeartbeatOutcome::Late => {
                 let what = format!("late heartbeat {} of target {run}", heartbeat.number);
@@ -130,7 +144,7 @@
         change
     }
 
-    /// Takes in the first heartbeat of a run of the target.
+    /// Applies the first heartbeat of a new run of the target.
     fn start_run(
         &mut self,
         run: &TargetRun,
@@ -148,7 +162,8 @@
             self.service = heartbeat.service.clone();
             self.announcement.service = self.service.clone();
         }
-        // A target whose first heartbeat came here has started after this agent did, or with it.
+        // A target that sent its first heartbeat to this agent has started after the agent, or together
+        // with it.
         let first = predecessor == Predecessor::None;
         let is_new = heartbeat.number <= 1
             || heartbeat.number <= FIRST_HEARTBEATS && run.started_with(self.handle.started);
@@ -161,9 +176,9 @@
         RunChange::default()
     }
 
-    /// Says so when the target falls silent or breaks off what it is given, and when it serves again.
+    /// Logs and announces when the target goes silent or breaks off requests, and when it serves again.
     pub(super) fn update_target_health(&mut self, now: Timestamp) {
-        let health = self.health(now);
+        let health = self.assess_health(now);
         if health == self.health {
             return;
         }
@@ -178,9 +193,10 @@
         }
     }
 
-    /// Returns what is seen of the target. A failing one is given up only while most of its siblings serve:
-    /// if all fail, the fault lies elsewhere, and somebody must try.
-    fn health(&self, now: Timestamp) -> TargetHealth {
+    /// Returns the observed health of the target. A failing target is taken out of service only while
+    /// more than half of the service's other agents serve: if all fail, the fault lies elsewhere, and
+    /// some target must still be tried.
+    fn assess_health(&self, now: Timestamp) -> TargetHealth {
         if self.gate.target_silent(now) {
             return TargetHealth::Silent;
         }
@@ -195,7 +211,7 @@
         TargetHealth::Sound
     }
 
-    /// Says so when there is no target, so that nobody searches for flows here.
+    /// Announces when there is no target, so that no process searches for flows here.
     pub(super) fn detect_absent_target(&mut self, now: Timestamp) {
         if self.announcement.status != MemberStatus::Empty && self.gate.is_empty(now) {
             self.announcement.slots = 0;
--- a/crates/dillmill-flow/src/agent_task/packets.rs
+++ b/crates/dillmill-flow/src/agent_task/packets.rs
@@ -1,4 +1,4 @@
-//! Packets on their way through an agent: what the gate decides is carried out.
+//! Passes packets through an agent, and applies the verdict of the flow gate on each.
 
 use std::net::SocketAddrV4;
 
@@ -29,7 +29,7 @@
         self.handle_caller_packet(&seg, packet, envelope, now).await;
     }
 
-    /// Decides on a packet of a caller.
+    /// Gets the flow gate's verdict on a caller's packet and applies it.
     pub(super) async fn handle_caller_packet(
         &mut self,
         seg: &Segment,
@@ -68,7 +68,8 @@
         };
         let observed = self.gate.answered(&seg, now);
         if let Some(record) = observed.record {
-            // Before the caller can send its next packet, which may come through a balancer that does not know.
+            // The flow is registered before the caller can send its next packet, which may come through a
+            // balancer that does not know the owner.
             self.registrations.push(record);
             self.register_new(now);
         }
@@ -96,18 +97,18 @@
     ) {
         match verdict {
             Verdict::Deliver { mark, tell } => {
-                self.no_longer_waits(seg);
+                self.remove_from_queue(seg);
                 self.log_delivery(seg, mark, now);
                 self.caller_packets.keep(seg, &packet, now);
                 self.deliver(packet, mark).await;
-                self.tell(tell, &seg.flow);
+                self.notify_owner(tell, &seg.flow);
             }
             Verdict::Try { onward } => {
                 self.deliver(packet.clone(), 0).await;
                 Box::pin(self.apply_verdict(*onward, seg, packet, now)).await;
             }
             Verdict::Pass { to, envelope, reason } => {
-                self.no_longer_waits(seg);
+                self.remove_from_queue(seg);
                 if matches!(envelope.purpose, PacketPurpose::Place { .. }) {
                     self.counters.passed_on.inc();
                 } else {
@@ -116,15 +117,15 @@
                 self.log.flow(now, &seg.flow, format_args!("passed to {to}"), || {
                     format!("{reason:?}, {:?}", envelope.purpose)
                 });
-                self.pass(&envelope, seg, packet, to, now).await;
+                self.forward(&envelope, seg, packet, to, now).await;
             }
             Verdict::Wait { terms, envelope, tell } => {
-                self.wait(seg, packet, envelope, terms, now);
-                self.tell(tell, &seg.flow);
+                self.enqueue_open(seg, packet, envelope, terms, now);
+                self.notify_owner(tell, &seg.flow);
             }
             Verdict::Missing { origin } => {
                 self.log.flow(now, &seg.flow, "missing", || "no agent holds it".to_owned());
-                // Only a caller that waits for something needs to know.
+                // Only a caller that waits for an answer needs to be notified.
                 if seg.wants_answer() {
                     let message = FlowMessage::Missing { flow: seg.flow, caller_expects: seg.ack };
                     self.handle.send(origin, Message::Flow(message));
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Tells a balancer that the packets of `flow` are to come here.
-    pub(super) fn tell(&self, balancer: Option<SocketAddrV4>, flow: &FlowTuple) {
+    /// Notifies a balancer that this agent owns `flow`.
+    pub(super) fn notify_owner(&self, balancer: Option<SocketAddrV4>, flow: &FlowTuple) {
         let Some(balancer) = balancer else { return };
         let (owner, data) = (self.handle.process, self.gate.data());
         let message = FlowMessage::Owner { flow: *flow, owner, data };
@@ -182,7 +183,7 @@
         });
     }
 
-    pub(super) async fn pass(
+    pub(super) async fn forward(
         &mut self,
         envelope: &Envelope,
         seg: &Segment,
@@ -210,7 +211,7 @@
         now: Timestamp,
     ) {
         if let Some(flow) = self.uplink.send(kind, departure, now).await {
-            self.log.flow(now, &flow, "dropped", || "too much waits for the link".to_owned());
+            self.log.flow(now, &flow, "dropped", || "link queue is full".to_owned());
         }
     }
 
--- a/crates/dillmill-flow/src/agent_task/reports.rs
+++ b/crates/dillmill-flow/src/agent_task/reports.rs
@@ -1,4 +1,4 @@
-//! What an agent tells balancers of the load of its target.
+//! Sends load reports on the target to balancers.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 
 use super::{AgentTask, ReportSubscriber};
 
-/// A balancer that has sent no new flow for this long gets no more reports.
+/// A balancer that has placed no new flow here for this long gets no more load reports.
 const SUBSCRIPTION_PERIOD: Duration = Duration::from_secs(2);
-/// Reports without a new flow since the last one come this much further apart.
+/// Least time between two reports to a balancer that has placed no new flow since the last one.
 const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl AgentTask {
-    pub(super) fn report(&mut self, now: Timestamp) -> LoadReport {
+    pub(super) fn current_load(&mut self, now: Timestamp) -> LoadReport {
         let load = self.gate.load(now);
         let slots = if self.gate.takes_new(now) { self.gate.slots() } else { 0 };
         let in_use = load.requests.min(u32::from(self.gate.slots()));
@@ -37,28 +37,28 @@
             last_new_flow: now,
             last_report: Timestamp::default(),
             last_reported: idle,
-            due: true,
+            flow_since_report: true,
         });
         subscriber.last_new_flow = now;
-        subscriber.due = true;
+        subscriber.flow_since_report = true;
         if now.since(subscriber.last_report) >= REPORT_INTERVAL {
             self.report_to(balancer, now);
         }
     }
 
     fn report_to(&mut self, balancer: SocketAddrV4, now: Timestamp) {
-        let report = self.report(now);
+        let report = self.current_load(now);
         if let Some(subscriber) = self.report_subscribers.get_mut(&balancer) {
             subscriber.last_report = now;
             subscriber.last_reported = report;
-            subscriber.due = false;
+            subscriber.flow_since_report = false;
         }
         self.handle.send(balancer, Message::Load(report));
     }
 
-    /// Sends the reports that are due.
+    /// Updates the load gauges and sends the load reports that are due.
     pub(super) fn send_reports(&mut self, now: Timestamp) {
-        let report = self.report(now);
+        let report = self.current_load(now);
         self.counters.requests.set(i64::from(report.in_use) + i64::from(report.queued));
         self.counters.waiting.set(i64::try_from(self.gate.waiting()).unwrap_or(i64::MAX));
         self.handle.metrics.flows.set(i64::from(report.flows));
@@ -69,7 +69,8 @@
             .iter()
             .filter(|(_, o)| {
                 let age = now.since(o.last_report);
-                o.due || (report.tells_more_than(&o.last_reported) && age >= IDLE_REPORT_INTERVAL)
+                o.flow_since_report
+                    || (report.tells_more_than(&o.last_reported) && age >= IDLE_REPORT_INTERVAL)
             })
             .map(|(balancer, _)| *balancer)
             .collect();
--- a/crates/dillmill-flow/src/agent_task/waiting.rs
+++ b/crates/dillmill-flow/src/agent_task/waiting.rs
@@ -1,4 +1,4 @@
-//! Opening packets that wait for the target.
+//! Queues opening packets until the target can take them.
 
 use dillmill_core::flow_gate::GateContext;
 use dillmill_core::open_queue::{WaitTerms, WaitingOpen};
@@ -9,8 +9,8 @@
 use crate::decision_log::format_millis;
 
 impl AgentTask {
-    /// Lets an opening packet wait for the target.
-    pub(super) fn wait(
+    /// Queues an opening packet for the target.
+    pub(super) fn enqueue_open(
         &mut self,
         seg: &Segment,
         packet: Vec<u8>,
@@ -38,13 +38,14 @@
         }
     }
 
-    pub(super) fn no_longer_waits(&mut self, seg: &Segment) {
+    pub(super) fn remove_from_queue(&mut self, seg: &Segment) {
         if matches!(seg.kind, SegmentKind::Open { .. }) {
             self.gate.no_longer_waits(&seg.flow);
         }
     }
 
-    /// Takes on what waits and has its turn, or passes all of it on when the target takes nothing new.
+    /// Handles the queued packets whose turn has come, or passes all of them on when the target takes no
+    /// new flows.
     pub(super) async fn serve_queue(&mut self, now: Timestamp) {
         for (open, verdict) in self.gate.take_lost(now) {
             self.refuse(&open.flow, &verdict, now);
--- a/crates/dillmill-flow/src/balancer.rs
+++ b/crates/dillmill-flow/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer's process.
+//! Starts and stops a balancer process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,21 +17,22 @@
 use crate::session::Session;
 use crate::{endpoints, sockets};
 
-/// Routers ask twice a second and need two misses: after this time no packet comes any more.
+/// Time after which routers send no more packets: they check readiness twice a second and need two failed
+/// checks.
 const WITHDRAWN_AFTER: Duration = Duration::from_millis(1500);
-/// Part of the time for a stop that is left for the end of the process itself.
+/// Part of the stop limit that is reserved for ending the process itself.
 const STOP_MARGIN: Duration = Duration::from_secs(2);
-/// A planned stop waits for this long without any packet.
+/// A graceful stop ends once no packet has come for this long.
 const IDLE_BEFORE_STOP: Duration = Duration::from_millis(300);
 
 /// A running balancer of packet flows.
 #[derive(Debug)]
 pub struct FlowBalancer {
-    /// Its control task.
+    /// Handle of the process's control task.
     pub node: Node,
     readiness: Rc<Cell<Readiness>>,
     counters: BalancerCounters,
-    /// How long a stop may take; a reload may change it.
+    /// Longest time that a stop may take; reloading the settings file can change it.
     pub stop_limit: Rc<Cell<Duration>>,
 }
 
@@ -81,10 +82,11 @@
         Ok(Self { node, readiness, counters, stop_limit })
     }
 
-    /// Stops as planned: is withdrawn by the routers, forwards what still comes, then ends.
+    /// Stops gracefully: reports itself as not ready so that routers withdraw it, forwards packets that
+    /// still come, then ends.
     pub async fn stop(self) {
         let handle = &self.node.handle;
-        handle.journal.record(EventKind::Process, "balancer stops", "asked to");
+        handle.journal.record(EventKind::Process, "balancer stops", "stop requested");
         self.readiness.set(Readiness::Stopping);
         handle.leave();
         let started = handle.clock.now();
@@ -93,9 +95,9 @@
         loop {
             let before = self.counters.packets.get();
             compio::time::sleep(IDLE_BEFORE_STOP).await;
-            let quiet = self.counters.packets.get() == before;
-            if quiet || handle.clock.now().since(started) >= limit {
-                let cause = if quiet { "no more packets" } else { "limit reached" };
+            let idle = self.counters.packets.get() == before;
+            if idle || handle.clock.now().since(started) >= limit {
+                let cause = if idle { "no more packets" } else { "limit reached" };
                 handle.journal.record(EventKind::Process, "balancer stopped", cause);
                 break;
             }
@@ -104,7 +106,7 @@
     }
 }
 
-/// Answers the platform; a balancer takes no heartbeats, as it can't speak for a target.
+/// Answers the platform's HTTP calls. A balancer rejects heartbeats, as it has no target.
 async fn answer_calls(calls: flume::Receiver<EndpointCall>, readiness: Rc<Cell<Readiness>>) {
     while let Ok(call) = calls.recv_async().await {
         match call {
--- a/crates/dillmill-flow/src/balancer_task.rs
+++ b/crates/dillmill-flow/src/balancer_task.rs
@@ -1,4 +1,4 @@
-//! Takes the packets of callers and sends each to an agent.
+//! Event loop of a balancer: receives the packets of callers and sends each to an agent.
 
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -29,21 +29,21 @@
 mod opening;
 mod searching;
 
-/// Time between two looks at agents that do not answer.
+/// Interval of periodic work: checks for silent agents, repeated searches and readiness.
 const TICK: Duration = Duration::from_millis(100);
-/// For this long after its start a balancer may not know all agents.
+/// Time after its start during which a balancer may not know all agents yet.
 const STARTUP_PERIOD: Duration = Duration::from_secs(2);
 
-/// Whether the routers are to send packets to a balancer.
+/// Readiness of a balancer; routers send packets only to one that is ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// It knows no routes or no agent yet.
+    /// The balancer knows no routes or no agent yet.
     Starting,
-    /// It can route.
+    /// The balancer can route packets.
     Ready,
-    /// No agent answers it.
+    /// No agent answers the balancer.
     CutOff,
-    /// It ends.
+    /// The balancer is shutting down.
     Stopping,
 }
 
@@ -51,14 +51,14 @@
     Packet(Vec<u8>),
     Load(LoadReport),
     Flow(FlowMessage),
-    /// The search for this flow's owner is to be repeated.
+    /// The search for this flow's owner is due to be repeated.
     RetrySearch(FlowTuple),
-    /// The link takes the next packet.
+    /// The VM's link can take the next packet.
     LinkFree,
     Tick,
 }
 
-/// Owns the socket of callers and what the balancer remembers of flows.
+/// State of a balancer: the socket for callers, the owners of flows, and its view of the agents.
 pub struct BalancerTask {
     handle: NodeHandle,
     views: Views,
@@ -86,11 +86,11 @@
 }
 
 impl BalancerTask {
-    /// Creates the task of a balancer whose messages come to `control`.
+    /// Creates the task of a balancer that receives control messages at `control`.
     ///
     /// # Errors
     ///
-    /// Fails if the name of a metric is taken.
+    /// Fails if a metric name is already registered.
     pub fn new(
         handle: NodeHandle,
         socket: UdpSocket,
@@ -154,9 +154,9 @@
             }
             self.route_early_packets(now).await;
             match event {
-                Event::Packet(buf) => self.packet(&buf, now).await,
+                Event::Packet(buf) => self.handle_packet(&buf, now).await,
                 Event::Load(report) => self.placement.report(report),
-                Event::Flow(message) => self.message(message, now).await,
+                Event::Flow(message) => self.handle_flow_message(message, now).await,
                 Event::RetrySearch(flow) => {
                     self.retry_search(flow, SearchScope::Directories, now).await;
                 }
@@ -174,7 +174,8 @@
         let evacuations = view.evacuations.as_deref().cloned().unwrap_or_default();
         self.agents = AgentTable::new(view.members(), &self.zone).with_evacuations(&evacuations);
         self.placement.retain(&self.agents);
-        // No flow is placed by routes alone: its data centre may be evacuated.
+        // Routes are used only once the evacuation orders are known: without them, new flows could be
+        // placed in a data centre that is being evacuated.
         if let Some(routes) = &view.routes
             && view.evacuations.is_some()
             && routes.revision() > self.routes.revision
@@ -183,12 +184,12 @@
         }
     }
 
-    /// Returns whether it is known where packets can go: some route, and an agent.
+    /// Returns whether at least one route and one agent are known.
     fn can_route(&self) -> bool {
         !self.routes.is_empty() && !self.agents.is_empty()
     }
 
-    /// Routes the packets that came before anything was known.
+    /// Routes the packets that came before the routes and agents for them were known.
     async fn route_early_packets(&mut self, now: Timestamp) {
         for EarlyPacket { at, buf } in self.early_packets.take_due(now) {
             if let Ok(seg) = packet::decode(&buf, Sender::Caller) {
@@ -197,7 +198,8 @@
         }
     }
 
-    /// Returns whether a packet may be routed differently in a moment, as this process has only just started.
+    /// Returns whether a packet should wait because this process has only just started: it does not know
+    /// the routes yet, or no agent with slots that takes new flows of the packet's route.
     fn is_early(&self, seg: &Segment, now: Timestamp) -> bool {
         if now.since(self.started) >= STARTUP_PERIOD {
             return false;
@@ -237,7 +239,7 @@
         self.handle.metrics.flows.set(i64::try_from(self.owners.len()).unwrap_or(i64::MAX));
     }
 
-    async fn packet(&mut self, buf: &[u8], now: Timestamp) {
+    async fn handle_packet(&mut self, buf: &[u8], now: Timestamp) {
         self.counters.packets.inc();
         let Ok(seg) = packet::decode(buf, Sender::Caller) else {
             return self.counters.dropped.inc();
@@ -246,7 +248,7 @@
         self.route_packet(&seg, buf, now, now).await;
     }
 
-    /// Routes a packet that came at `at`.
+    /// Routes a packet that was received at `at`.
     async fn route_packet(&mut self, seg: &Segment, buf: &[u8], at: Timestamp, now: Timestamp) {
         if self.is_early(seg, now) {
             let packet = EarlyPacket { at, buf: buf.to_vec() };
@@ -277,7 +279,7 @@
         }
     }
 
-    /// Returns how long after the first proof that nobody holds a flow a second one counts.
+    /// Returns how long after a first search that found no owner a second one counts as confirmation.
     fn missing_confirmation_delay(&self, now: Timestamp) -> Duration {
         if now.since(self.started) < STARTUP_PERIOD {
             MISSING_CONFIRM_DELAY_AT_START
@@ -320,7 +322,7 @@
         seal_envelope(&self.envelope(service, purpose), packet, &mut buf);
         let departure = Departure { flow: seg.flow, packet: seg.into(), buf, to };
         if let Some(flow) = self.uplink.send(kind, departure, now).await {
-            self.log.flow(now, &flow, "dropped", || "too much waits for the link".to_owned());
+            self.log.flow(now, &flow, "dropped", || "link queue is full".to_owned());
         }
     }
 
@@ -334,7 +336,7 @@
         self.uplink.send_at_once(TrafficKind::Reset, reset, to).await;
     }
 
-    async fn message(&mut self, message: FlowMessage, now: Timestamp) {
+    async fn handle_flow_message(&mut self, message: FlowMessage, now: Timestamp) {
         match message {
             FlowMessage::Owner { flow, owner, data } => {
                 self.record_owner(flow, Owner { process: owner, data }, now).await;
--- a/crates/dillmill-flow/src/balancer_task/opening.rs
+++ b/crates/dillmill-flow/src/balancer_task/opening.rs
@@ -1,4 +1,4 @@
-//! What a balancer does with packets that open flows.
+//! Admits new flows at a balancer and places them at agents.
 
 use dillmill_core::open_queue::WaitingOpen;
 use dillmill_core::{
@@ -9,7 +9,8 @@
 use super::{BalancerTask, STARTUP_PERIOD};
 
 impl BalancerTask {
-    /// Returns whether a new flow may begin; if not, its opening packet waits until the link can carry it.
+    /// Returns whether a new flow may begin now; if not, its opening packet is queued until the link can
+    /// carry it.
     pub(super) fn admit(
         &mut self,
         seg: &Segment,
@@ -34,19 +35,20 @@
         }
         let (under_way, waiting) = (self.admission.under_way(), self.admission.waiting());
         self.log.flow(now, &seg.flow, "waits", || {
-            format!("uploads under way bring {under_way} bytes over the link, {waiting} wait")
+            format!("uploads in progress bring {under_way} bytes over the link, {waiting} opening packets wait")
         });
         let purpose = PacketPurpose::Place { passed: Vec::new() };
         let envelope = self.envelope(service, purpose);
         let open = WaitingOpen { flow: seg.flow, packet: buf.to_vec(), envelope, terms };
-        // One that finds no place waits for its caller's copy.
+        // A packet that does not fit in the queue is dropped; the caller's copy tries again.
         if self.admission.wait(open).is_some() {
             self.counters.dropped.inc();
         }
         false
     }
 
-    /// Opens the flows that have waited for the link and have their turn.
+    /// Refuses the queued flows whose callers have given up or are about to, and opens those whose turn has
+    /// come.
     pub(super) async fn open_queued(&mut self, now: Timestamp) {
         for open in self.admission.take_lost(now) {
             self.counters.refused.inc();
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Gives a new flow to an agent; a copy goes to the same one unless that is silent.
+    /// Places a new flow at an agent. A copy of the opening packet goes to the same agent, unless that is
+    /// silent or takes no new flows.
     pub(super) async fn open(
         &mut self,
         seg: &Segment,
@@ -105,8 +108,9 @@
             .await;
     }
 
-    /// Refuses a new flow that no agent can take, so that the caller's next try comes soon. A
-    /// balancer that has only just started may not know all agents yet, and waits for the copy.
+    /// Refuses a new flow that no agent can take, so that the caller retries soon. A balancer that has
+    /// only just started may not know all agents yet; it drops the packet and waits for the caller's
+    /// copy.
     async fn refuse(&mut self, seg: &Segment, service: ServiceTag, now: Timestamp) {
         if now.since(self.started) < STARTUP_PERIOD {
             return self.counters.dropped.inc();
@@ -114,8 +118,8 @@
         self.counters.refused.inc();
         let evacuated = self.agents.all_evacuated(service);
         self.log.flow(now, &seg.flow, "refused", || {
-            let why = if evacuated { ": all their data centres are evacuated" } else { "" };
-            format!("no agent of service {service}{why}")
+            let detail = if evacuated { ": all their data centres are evacuated" } else { "" };
+            format!("no agent of service {service}{detail}")
         });
         self.reset(&seg.flow, 0).await;
     }
--- a/crates/dillmill-flow/src/balancer_task/searching.rs
+++ b/crates/dillmill-flow/src/balancer_task/searching.rs
@@ -1,4 +1,4 @@
-//! How a balancer finds the agents of open flows.
+//! Forwards packets of open flows, and finds the agents that own those flows.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::BalancerTask;
 
 impl BalancerTask {
-    /// Sends a packet of an open flow to its owner, or has the owner searched.
+    /// Sends a packet of an open flow to its owner, or starts a search for the owner.
     pub(super) async fn forward(
         &mut self,
         seg: &Segment,
@@ -24,11 +24,12 @@
         if let Some(owner) = known.filter(|owner| self.agents.at(owner.data).is_some()) {
             return self.send(seg, service, PacketPurpose::Deliver, buf, owner.data, now).await;
         }
-        self.search(seg, service, services, buf, now).await;
+        self.search_owner(seg, service, services, buf, now).await;
     }
 
-    /// Has the owner of a flow searched, and keeps the packet until that is done.
-    async fn search(
+    /// Starts a search for the owner of a flow. A packet whose caller expects an answer is kept until the
+    /// search ends.
+    async fn search_owner(
         &mut self,
         seg: &Segment,
         service: ServiceTag,
@@ -66,12 +67,13 @@
         self.send(seg, service, purpose, buf, first, now).await;
     }
 
-    /// Has a search that found nobody repeated: the caller's own next try may come too late.
+    /// Schedules a repeat of a search that found no owner, as the caller's next retransmission may come
+    /// too late.
     pub(super) fn schedule_search_retry(&self, flow: FlowTuple, after: Duration) {
         let retry_tx = self.retry_tx.clone();
         compio::runtime::spawn(async move {
             compio::time::sleep(after).await;
-            // Fails only when the task has ended.
+            // Fails only if the balancer task has ended.
             let _ = retry_tx.send(flow);
         })
         .detach();
@@ -99,7 +101,7 @@
         self.send_search(&seg, service, &route.services(), &buf, scope, now).await;
     }
 
-    /// Remembers the owner of a flow, and sends it the packets that have waited for that.
+    /// Stores the owner of a flow, and sends it the packets that were kept during the search.
     pub(super) async fn record_owner(&mut self, flow: FlowTuple, owner: Owner, now: Timestamp) {
         self.owners.set(flow, owner, now);
         let agent = self.agents.at(owner.data).map(|agent| agent.service);
--- a/crates/dillmill-flow/src/config.rs
+++ b/crates/dillmill-flow/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a process from the settings that the platform gives it.
+//! Derives the configuration of a process from the settings that the platform provides.
 
 use std::fmt::Write;
 use std::net::SocketAddrV4;
@@ -8,11 +8,11 @@
 use dillmill_platform::ProcessSettings;
 use sha2::{Digest, Sha256};
 
-/// Derives the configuration of a process; `metrics_port` is that of its administration page.
+/// Returns the configuration of a process; `metrics_port` is the port of its administration page.
 ///
-/// The platform gives processes no secret, so the key of the installation follows from the address
-/// of the store: it keeps apart installations and processes that got a reused address, and is no
-/// protection against an attacker on the network.
+/// The platform provides no secret to processes, so the cluster key is derived from the address of the
+/// store. The key keeps apart different installations and processes that got a reused address; it does
+/// not protect against an attacker on the network.
 #[must_use]
 pub fn process_config(settings: &ProcessSettings, metrics_port: Option<u16>) -> ProcessConfig {
     let control_port = settings.internal_port_range.0;
@@ -20,7 +20,7 @@
     let digest = Sha256::digest(format!("dillmill {}", settings.store));
     let mut key = String::new();
     for byte in digest {
-        // Writing into a text can't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(key, "{byte:02x}");
     }
     ProcessConfig {
--- a/crates/dillmill-flow/src/decision_log.rs
+++ b/crates/dillmill-flow/src/decision_log.rs
@@ -1,4 +1,4 @@
-//! One line for each decision on a packet flow, bounded in number.
+//! Logs one line for each decision on a packet flow, at a limited rate.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use dillmill_core::{EventKind, FlowTuple, Timestamp};
 use dillmill_node::Journal;
 
-/// Lines a second, well above what a busy balancer decides on.
+/// Lines per second that the budget gains, well above the decisions per second of a busy balancer.
 const LINES_PER_SECOND: u32 = 200;
-/// Lines at once after a quiet time.
+/// Most lines that can be logged in a burst after a quiet time.
 const MAX_BUDGET: u32 = 400;
 
-/// Writes decisions into the log while a budget of lines lasts, and counts the rest.
+/// Logs decisions while the budget of lines lasts, and counts those that are left out.
 #[derive(Debug)]
 pub struct DecisionLog {
     journal: Journal,
@@ -21,13 +21,13 @@
 }
 
 impl DecisionLog {
-    /// Creates a log.
+    /// Creates a log with a full budget of lines.
     #[must_use]
     pub fn new(journal: Journal, now: Timestamp) -> Self {
         Self { journal, budget: MAX_BUDGET, refilled_at: now, suppressed: 0 }
     }
 
-    fn take(&mut self, now: Timestamp) -> bool {
+    fn take_budget(&mut self, now: Timestamp) -> bool {
         let gained = now.since(self.refilled_at).as_millis() * u128::from(LINES_PER_SECOND) / 1000;
         if gained > 0 {
             let gained = u32::try_from(gained).unwrap_or(MAX_BUDGET);
@@ -42,7 +42,7 @@
         true
     }
 
-    /// Logs what was decided on a flow, and what decided it.
+    /// Logs a decision on a flow, and the inputs that led to it.
     pub fn flow(
         &mut self,
         now: Timestamp,
@@ -53,13 +53,13 @@
         self.line(now, EventKind::Flow, || (format!("{flow} {decided}"), inputs()));
     }
 
-    /// Logs a call in a target's name that was not taken for its own, and why.
-    pub fn heartbeat_refused(&mut self, now: Timestamp, why: &str) {
-        self.line(now, EventKind::Member, || ("heartbeat refused".to_owned(), why.to_owned()));
+    /// Logs that a call made in a target's name was refused, and the reason.
+    pub fn heartbeat_refused(&mut self, now: Timestamp, reason: &str) {
+        self.line(now, EventKind::Member, || ("heartbeat refused".to_owned(), reason.to_owned()));
     }
 
     fn line(&mut self, now: Timestamp, kind: EventKind, text: impl FnOnce() -> (String, String)) {
-        if !self.take(now) {
+        if !self.take_budget(now) {
             return;
         }
         if self.suppressed > 0 {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Time that has passed, for a log line.
+/// Formats a time span in milliseconds for a log line.
 #[must_use]
 pub fn format_millis(span: Duration) -> String {
     format!("{} ms", span.as_millis())
--- a/crates/dillmill-flow/src/endpoints.rs
+++ b/crates/dillmill-flow/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The HTTP addresses on which the platform and targets call a process.
+//! Serves the HTTP addresses on which the platform and targets call a process.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -7,7 +7,7 @@
 use dillmill_node::NodeError;
 use dillmill_platform::{EndpointCall, endpoint};
 
-/// Serves all calls on `addrs` and returns them as they come.
+/// Serves HTTP on `addrs`, and returns the channel on which the calls arrive.
 ///
 /// # Errors
 ///
@@ -22,7 +22,7 @@
             TcpListener::bind(addr).await.map_err(NodeError::io("bind endpoint", addr))?;
         let router = endpoint::router(tx.clone());
         compio::runtime::spawn(async move {
-            // Ends only with the process: accept errors are retried inside.
+            // Ends only with the process: the server retries accept errors itself.
             let _ = cyper_axum::serve(listener, router).await;
         })
         .detach();
--- a/crates/dillmill-flow/src/flow_metrics.rs
+++ b/crates/dillmill-flow/src/flow_metrics.rs
@@ -1,28 +1,28 @@
-//! Counters and histograms of packet flows.
+//! Counters, gauges and histograms of packet flows.
 
 use dillmill_node::{Metrics, NodeError};
 use prometheus::{Histogram, IntCounter, IntGauge};
 
-/// Upper bounds of the buckets of waits, in seconds: from a round trip inside a data centre to the
-/// deadline of a caller.
+/// Upper bounds of the histogram buckets for answer times, in seconds: from a round trip within a data
+/// centre to a caller's deadline.
 const WAIT_BUCKETS: [f64; 10] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
-/// What a balancer counts.
+/// Metrics of a balancer.
 #[derive(Debug, Clone)]
 pub struct BalancerCounters {
-    /// Packets of callers.
+    /// Packets received from callers.
     pub packets: IntCounter,
-    /// New flows given to an agent.
+    /// New flows placed at an agent.
     pub placed: IntCounter,
-    /// New flows given to an agent in another data centre.
+    /// New flows placed at an agent in another data centre.
     pub placed_far: IntCounter,
     /// New flows refused, with a reset.
     pub refused: IntCounter,
-    /// Packets whose owner was not known.
+    /// Packets of flows whose owner was not known.
     pub searched: IntCounter,
     /// Flows reset because no agent holds them.
     pub missing: IntCounter,
-    /// Packets dropped: unreadable, or nobody to send them to.
+    /// Packets dropped: malformed, or without an agent to send them to.
     pub dropped: IntCounter,
 }
 
@@ -48,30 +48,30 @@
     }
 }
 
-/// What an agent counts.
+/// Metrics of an agent.
 #[derive(Debug, Clone)]
 pub struct AgentCounters {
-    /// Packets handed to the target.
+    /// Packets delivered to the target.
     pub delivered: IntCounter,
     /// Packets of the target sent to callers.
     pub answered: IntCounter,
     /// New flows passed to another agent.
     pub passed_on: IntCounter,
-    /// Packets of flows passed on in search of their owner.
+    /// Packets passed on in the search for their flow's owner.
     pub searched: IntCounter,
     /// New flows refused, with a reset.
     pub refused: IntCounter,
-    /// Packets that the target gave back.
+    /// Packets that the target returned.
     pub returned: IntCounter,
     /// Packets dropped.
     pub dropped: IntCounter,
-    /// Calls in a target's name that can't be its own.
+    /// Calls made in a target's name that were refused, as they can't be its own.
     pub heartbeats_refused: IntCounter,
-    /// Requests without an answer now.
+    /// Requests that are open now: their answers are outstanding.
     pub requests: IntGauge,
-    /// Opening packets that wait for the target now.
+    /// Opening packets that are queued for the target now.
     pub waiting: IntGauge,
-    /// From the first bytes of a request to the first bytes of its answer, in seconds.
+    /// Time from the first bytes of a request to the first bytes of its answer, in seconds.
     pub answer_seconds: Histogram,
 }
 
--- a/crates/dillmill-flow/src/lib.rs
+++ b/crates/dillmill-flow/src/lib.rs
@@ -1,19 +1,20 @@
-//! The edges of packet flows: the balancer and the agent as they run on the users' platform.
+//! Balancer and agent processes for packet flows, as they run on the users' platform.
 //!
-//! A caller's packets go from the platform's routers to a [`FlowBalancer`], from there in an
-//! envelope to the [`FlowAgent`] beside a target, and to the target. A target's packets go to its
-//! agent and from there straight to the caller. Neither end's bytes are changed.
+//! The platform's routers send a caller's packets to a [`FlowBalancer`]. It forwards each in an
+//! envelope to the [`FlowAgent`] next to a target, which delivers the packet to the target. The target's
+//! packets go to its agent and from there directly to the caller. The bytes that caller and target exchange
+//! are not changed.
 //!
-//! | Module | Job |
+//! | Module | Responsibility |
 //! |---|---|
-//! | [`balancer`], [`balancer_task`] | takes packets of callers, opens flows, searches owners |
-//! | [`agent`], [`agent_task`] | last word before a target; finds flows again |
-//! | [`session`] | the process's entry in the store, and who else is there |
-//! | [`operator_watch`] | reads the operators' configuration and their orders to evacuate |
-//! | [`reload`] | reads a changed settings file |
-//! | [`uplink`] | lets packets wait for the VM's link |
-//! | [`endpoints`] | readiness and heartbeats |
-//! | [`decision_log`] | one line a decision, bounded |
+//! | [`balancer`], [`balancer_task`] | receives packets of callers, opens flows, finds their owners |
+//! | [`agent`], [`agent_task`] | decides what its target takes, searches for flows that it does not hold |
+//! | [`session`] | keeps the process's entry in the store and reads those of its peers |
+//! | [`operator_watch`] | reads the operators' configuration and evacuation orders |
+//! | [`reload`] | reloads the settings file when it changes |
+//! | [`uplink`] | queues packets for the VM's link |
+//! | [`endpoints`] | serves HTTP calls for readiness and heartbeats |
+//! | [`decision_log`] | logs one line per decision, at a limited rate |
 
 pub mod agent;
 pub mod agent_task;
--- a/crates/dillmill-flow/src/operator_watch.rs
+++ b/crates/dillmill-flow/src/operator_watch.rs
@@ -1,8 +1,8 @@
-//! Reads what operators keep in the store: the configuration, and which data centres are to be evacuated.
+//! Reads the operators' entries in the store: the configuration, and the orders to evacuate data centres.
 //!
-//! A few processes watch it and pass each new revision on; the others read it only when nobody has
-//! shown them any. A watch alone does not tell whether the store still answers, so only processes
-//! whose leases are being renewed have the duty.
+//! A few processes watch the entries and pass each new revision on; the others read them only if no peer
+//! has sent them any. A watch alone does not show whether the store still answers, so only processes
+//! whose leases are being renewed are given this duty.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -24,36 +24,38 @@
 use crate::session::FLEET_SIZE_KEY;
 use crate::unreadable;
 
-/// Longest wait of one watch: every watch that ends empty is a call that is paid for. A watch that is cut
-/// without a word is noticed sooner, as the lease is not renewed then either.
+/// Longest duration of one watch call: calls are paid for, also those that end without changes. A watch
+/// whose connection is lost silently is noticed sooner, as the lease is not renewed then either.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(25);
-/// Wait between two events: changes that come faster are read as one.
+/// Pause between two calls to the store: changes that come faster are read together.
 const COALESCE_DELAY: Duration = Duration::from_millis(100);
-/// How long a process that starts waits for its peers' routes before it reads the store: when all start at once, the
-/// few that all others join through read it, and pass the routes on before most others would.
+/// How long a starting process waits for its peers' routes before it reads the store. When all processes
+/// start at once, the few seeds through which the others join read the store, and pass the routes on
+/// before most others would read it.
 const PEER_WAIT: StartPatience = StartPatience {
     base: Duration::from_millis(100),
     spread: Duration::from_millis(300),
     per_process: Duration::from_micros(1500),
 };
-/// The same while none of those few has answered: they may start last.
+/// The same while no seed has answered: the seeds may start last.
 const PEER_WAIT_ALONE: StartPatience = StartPatience {
     base: Duration::from_millis(30),
     spread: Duration::from_millis(120),
     per_process: Duration::from_micros(1500),
 };
-/// The same for those few.
+/// Range from which a seed draws its wait, in milliseconds.
 const PEER_WAIT_SEED_MS: Range<u64> = 0..50;
-/// The same when the whole system starts for the first time, seconds before any traffic.
+/// Range of the wait at the first start of the whole system, in milliseconds: traffic comes only seconds
+/// later.
 const PEER_WAIT_FIRST_START_MS: Range<u64> = 500..4000;
-/// How often it is looked meanwhile whether peers have told.
+/// Interval at which a waiting process checks whether its peers have sent the data.
 const PEER_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Wait after a failed call.
+/// Pause after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// How often a process without the duty looks whether it has it now.
+/// Interval at which a process without the duty checks whether it has it now.
 const OFF_DUTY_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Watches what operators keep for as long as the process lives.
+/// Watches the operators' entries for as long as the process lives.
 #[derive(Debug)]
 pub struct OperatorWatch {
     store: Store,
@@ -62,17 +64,18 @@
     view: Option<Arc<View>>,
     after: Option<Version>,
     started: Timestamp,
-    /// What is read may be seconds old while this process only wants to begin: keepers watch for what is newer.
+    /// A process that has only just started accepts data that is seconds old, as keepers watch for newer
+    /// data.
     freshness: Freshness,
     peer_wait: PeerWait,
 }
 
-/// How a process waits for the routes of peers after its start.
+/// How long a process waits after its start for its peers' routes.
 #[derive(Debug, Clone, Copy)]
 enum PeerWait {
-    /// For this long.
+    /// A fixed duration.
     Fixed(Duration),
-    /// As long as the share of this process in the patience of all.
+    /// A duration that depends on the fleet's size, scaled by this process's random share from 0 to 1.
     Scaled(f64),
 }
 
@@ -134,7 +137,9 @@
         }
     }
 
-    /// Waits until peers have told, or it is time to ask the store; first for the fleet's size, which tells when that is.
+    /// Waits until peers have sent the data, or the wait is over and the store is to be read. A wait that
+    /// depends on the fleet's size may be over twice: the first time only the size is read, from which
+    /// the full wait follows.
     async fn wait_for_peers(&mut self) {
         let mut size_read = false;
         loop {
@@ -150,7 +155,7 @@
                 if let Err(report) = self.read_size().await {
                     self.handle.metrics.platform_errors.inc();
                     let cause = report.current_context().to_string();
-                    self.handle.journal.record(EventKind::Platform, "size not read", cause);
+                    self.handle.journal.record(EventKind::Platform, "fleet size not read", cause);
                 }
             }
             compio::time::sleep(PEER_POLL_INTERVAL).await;
@@ -175,7 +180,8 @@
         }
     }
 
-    /// Returns whether this process watches: it is among the first keepers, and the store answers it.
+    /// Returns whether this process is to watch the store: it is among the first keepers, and the store
+    /// answers it.
     fn on_duty(&self) -> bool {
         let Some(view) = &self.view else { return false };
         let members = view.members();
@@ -187,7 +193,7 @@
         let Some(after) = self.after else { return self.read_all().await };
         match self.store.watch(operator_key::PREFIX, after, WATCH_TIMEOUT).await? {
             WatchOutcome::HistoryCompacted => {
-                let cause = format!("store has forgotten what came after {after}");
+                let cause = format!("store no longer holds the changes after {after}");
                 self.handle.journal.record(EventKind::Platform, "watch starts again", cause);
                 self.read_all().await
             }
@@ -200,7 +206,7 @@
         }
     }
 
-    /// Reads all that operators keep, and from where a watch can go on.
+    /// Reads all operators' entries, and the version from which a watch can continue.
     async fn read_all(&mut self) -> StoreResult<()> {
         let mut entries: Vec<Entry> = Vec::new();
         let mut current = None;
@@ -208,7 +214,8 @@
         loop {
             let page =
                 self.store.list(operator_key::PREFIX, &last_key_read, self.freshness).await?;
-            // What changes while later pages are read is told by the watch again.
+            // The watch starts at the version of the first page, so it repeats changes made while later
+            // pages are read.
             current.get_or_insert(page.current);
             unreadable::record_entries(&self.handle, &page.unreadable);
             let next = page
@@ -224,16 +231,17 @@
         let current = current.unwrap_or_default();
         let ordered = entries.iter().filter_map(operator_key::evacuation_change);
         let evacuations = Evacuations::new(Revision(current.0), ordered.map(|change| change.zone));
-        // Before the routes: from the first route on new flows are placed.
+        // Evacuations are applied before the routes, because new flows are placed as soon as a route is
+        // known.
         self.handle.put_evacuations("store", evacuations);
         for entry in &entries {
-            self.take(entry);
+            self.apply_entry(entry);
         }
         self.after = Some(current);
         self.read_size().await
     }
 
-    /// Reads how many processes there were, unless somebody has told already.
+    /// Reads the stored size of the fleet, unless it is known already.
     async fn read_size(&self) -> StoreResult<()> {
         let known = |view: &Arc<View>| view.stored_size != StoredSize::default();
         if self.view.as_ref().is_some_and(known) {
@@ -246,7 +254,11 @@
             Some(size) => {
                 self.handle.put_stored_size(StoredSize { size, version: entry.version.0 });
             }
-            None => unreadable::record_entry(&self.handle, &entry.key, "not a number of processes"),
+            None => unreadable::record_entry(
+                &self.handle,
+                &entry.key,
+                "value is not a number of processes",
+            ),
         }
         Ok(())
     }
@@ -265,11 +277,11 @@
             .iter()
             .filter(|e| OperatorKey::from(e.key.as_str()) == OperatorKey::Unknown);
         for entry in newest.into_iter().chain(unknown) {
-            self.take(entry);
+            self.apply_entry(entry);
         }
     }
 
-    fn take(&self, entry: &Entry) {
+    fn apply_entry(&self, entry: &Entry) {
         match OperatorKey::from(entry.key.as_str()) {
             OperatorKey::Document => self.apply_document(entry),
             OperatorKey::Evacuation(_) => {}
--- a/crates/dillmill-flow/src/presence.rs
+++ b/crates/dillmill-flow/src/presence.rs
@@ -1,7 +1,8 @@
-//! Looks whether a target has a process.
+//! Probes whether a target process is running.
 //!
-//! An agent that has just started can't tell whether its target holds flows of an earlier time until the target
-//! has spoken, which one that is not there never does. A refused connection tells at once.
+//! An agent that has just started can't tell whether its target holds flows from before until the target
+//! sends a heartbeat, and an absent target never sends one. A refused connection shows at once that there
+//! is no target.
 
 use std::io::ErrorKind;
 use std::net::SocketAddrV4;
@@ -10,18 +11,18 @@
 use compio::net::TcpStream;
 use dillmill_core::flow_gate::TargetPresence;
 
-/// The target is on the same VM: only one that stands still takes this long.
+/// Time-out of a probe. The target runs on the same VM, so only a stopped process takes this long.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The same for an agent that has other things to start.
+/// Time-out of the probe at the agent's start, which delays everything else that has to start.
 pub const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Tries once to connect to the target, for as long as `limit`.
+/// Tries once to connect to the target, for at most `limit`.
 pub async fn probe(target: SocketAddrV4, limit: Duration) -> TargetPresence {
     match compio::time::timeout(limit, TcpStream::connect(target)).await {
         Ok(Ok(_)) => TargetPresence::Present,
         Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => TargetPresence::Absent,
-        // Neither an answer nor a refusal proves anything.
+        // Without a connection or a refusal, the probe proves nothing.
         Ok(Err(_)) | Err(_) => TargetPresence::Unknown,
     }
 }
--- a/crates/dillmill-flow/src/reload.rs
+++ b/crates/dillmill-flow/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file again when it changes.
+//! Reloads the settings file when it changes.
 
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -11,13 +11,13 @@
 use futures_util::future::{Either, select};
 use futures_util::pin_mut;
 
-/// How often the file's time is looked at: it may change without a signal.
+/// Interval at which the file's modification time is checked, as the file may change without a signal.
 const FILE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Watches the settings file of a process.
 ///
-/// Good settings are taken over as far as a running process can; of the rest the log says that they
-/// need a restart. Wrong ones change nothing, and the log says what is wrong and where.
+/// Valid settings are applied as far as a running process can apply them; for the rest the log says that
+/// they need a restart. Invalid settings change nothing, and the log says what is wrong and where.
 pub struct SettingsReloader {
     path: PathBuf,
     current: ProcessSettings,
@@ -27,7 +27,7 @@
 }
 
 impl SettingsReloader {
-    /// Starts the task; `stop_limit` is replaced when the file gives another one.
+    /// Starts the task; `stop_limit` is updated when the file specifies another one.
     pub fn spawn(
         path: PathBuf,
         current: ProcessSettings,
@@ -35,7 +35,7 @@
         journal: Journal,
         hang_ups: HangUps,
     ) {
-        let read_modified_at = modified(&path);
+        let read_modified_at = modification_time(&path);
         let reload = Self { path, current, stop_limit, journal, read_modified_at };
         compio::runtime::spawn(reload.run(hang_ups)).detach();
     }
@@ -55,14 +55,14 @@
     async fn wait_for_change(&self) {
         loop {
             compio::time::sleep(FILE_POLL_INTERVAL).await;
-            if modified(&self.path) != self.read_modified_at {
+            if modification_time(&self.path) != self.read_modified_at {
                 return;
             }
         }
     }
 
     fn reload_file(&mut self, cause: &str) {
-        self.read_modified_at = modified(&self.path);
+        self.read_modified_at = modification_time(&self.path);
         let settings = match ProcessSettings::open(&self.path) {
             Ok(settings) => settings,
             Err(e) => {
@@ -75,13 +75,13 @@
         let what = if settings == running {
             format!("settings file read: a stop may take {:?}", settings.stop_limit)
         } else {
-            "settings file read; addresses, service or bounds in it need a restart".to_owned()
+            "settings file read; changed addresses, service or bounds need a restart".to_owned()
         };
         self.journal.record(EventKind::Settings, what, cause);
         self.current = running;
     }
 }
 
-fn modified(path: &PathBuf) -> Option<SystemTime> {
+fn modification_time(path: &PathBuf) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
--- a/crates/dillmill-flow/src/session.rs
+++ b/crates/dillmill-flow/src/session.rs
@@ -1,9 +1,9 @@
-//! The process's entry in the store, and the way to the other processes.
+//! Keeps the process's entry in the store, and finds the other processes.
 //!
 //! Processes find each other through the addresses in their settings and through the entries of a few
-//! keepers ([`store_duty`]), and then talk directly. An entry only says where a process was when it wrote
-//! it. Whether it lives is settled by probes, so an entry that lapses or is taken away while its process
-//! lives changes nothing.
+//! keepers ([`store_duty`]), and then communicate directly. An entry only states the address of a process
+//! at the time of writing. Liveness is determined by probes, so an entry that expires or is removed while
+//! its process lives changes nothing.
 
 use std::cmp::Ordering;
 use std::net::SocketAddrV4;
@@ -19,41 +19,43 @@
 
 use crate::unreadable;
 
-/// Keys of processes: this and the number of the run.
+/// Prefix of the keys of process entries; the process id of the run follows.
 const PROCESS_PREFIX: &str = "dillmill/processes/";
 /// Key of the fleet's size.
 pub(crate) const FLEET_SIZE_KEY: &str = "dillmill/fleet-size";
-/// A smaller size of the fleet is written when it has been the same for this long: a process that restarts changes
-/// nothing. A larger one is at once, as those who start must not take fewer for all.
+/// A smaller size of the fleet is written only after it has been the same for this long, so that the
+/// restart of a process changes nothing. A larger size is written immediately, as starting processes must
+/// not take fewer for the whole fleet.
 const SIZE_STABLE_FOR: Duration = Duration::from_secs(5);
-/// Length of the lease, unless the store's shortest is longer: entries of lost processes are gone
-/// soon, and some renewals in a row may be lost.
+/// Time to live of the lease, unless the store's minimum is longer: short enough that entries of lost
+/// processes soon expire, and long enough that several renewals in a row may be lost.
 const LEASE_TTL: Duration = Duration::from_secs(8);
-/// Time between two renewals. A renewal costs a tenth of a read and tells besides whether the store
-/// answers this process: whoever it does not answer must not be relied on to watch.
+/// Interval between two renewals. A renewal costs a tenth of a read, and also shows whether the store
+/// answers this process: a process that it does not answer must not be relied on to watch the store.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1200);
-/// Wait after a failed call: an entry must be back within 2 s of the store's return.
+/// Pause after a failed call: an entry must be restored within 2 s after the store is reachable again.
 const RETRY_DELAY: Duration = Duration::from_millis(800);
-/// How long a process tries the addresses in its settings before it looks for others in the store: when everything
-/// starts, one of those few has started by then for nearly all.
+/// How long a process tries the seed addresses in its settings before it looks for peers in the store.
+/// When everything starts at once, one of the seeds has started by then for nearly all processes.
 const SEED_WAIT: StartPatience = StartPatience {
     base: Duration::from_millis(120),
     spread: Duration::ZERO,
     per_process: Duration::from_micros(500),
 };
-/// The fleet's size is read by then.
+/// The same while the fleet's size is not known: it has been read by then.
 const SEED_WAIT_UNKNOWN_SIZE: Duration = Duration::from_millis(200);
-/// How often a process that has only just started looks whether it has a duty.
+/// Interval at which a process that has only just started checks whether it has to contact the store.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// The same when the whole system starts for the first time: there is nobody in the store yet, and no
-/// traffic for seconds, but thousands of processes that would all ask.
+/// Time for the seed addresses when the whole system starts for the first time: the store has no entries
+/// yet and no traffic comes for seconds, but thousands of processes would all query the store.
 const SEED_WAIT_FIRST_START: Duration = Duration::from_secs(1);
-/// Before this age a process does not know all others, and would take itself for a keeper too soon.
+/// Least age of a keeper: a younger process does not know all others, and would take itself for a keeper
+/// too early.
 const KEEPER_MIN_AGE: Duration = Duration::from_millis(1500);
-/// How often a process that is no keeper looks whether it is one now.
+/// Interval at which a process that is not a keeper checks whether it is one now.
 const OFF_DUTY_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Keeps the entry of a process for as long as it lives.
+/// Keeps the entry of a process in the store for as long as the process lives.
 #[derive(Debug)]
 pub struct Session {
     store: Store,
@@ -64,12 +66,13 @@
     views: Views,
     view: Option<Arc<View>>,
     first_start: bool,
-    /// Drawn by this process, from 0 to 1: when it asks among all that start with it.
+    /// Random number from 0 to 1 that decides when this process queries the store among all that start
+    /// with it.
     random_share: f64,
     started: Timestamp,
-    /// Size of the fleet, and since when it is that.
+    /// Size of the fleet, and the time since when it has been the same.
     size: (FleetSize, Timestamp),
-    /// What this process has told the others of the store, and when.
+    /// The reachability of the store that this process has announced, and when.
     announced: (StoreReach, Timestamp),
 }
 
@@ -109,7 +112,8 @@
         }
     }
 
-    /// Returns whether this process talks to the store: as a keeper, or because it is alone.
+    /// Returns whether this process has to contact the store: as a keeper, or because it knows no other
+    /// process.
     fn should_contact_store(&self, now: Timestamp) -> bool {
         let Some(view) = &self.view else { return false };
         if view.members.len() <= 1 {
@@ -119,7 +123,7 @@
             && store_duty::on_duty(view.me.process, view.members(), store_duty::KEEPERS)
     }
 
-    /// Returns how long this process tries the addresses in its settings.
+    /// Returns how long this process tries the seed addresses in its settings.
     fn seed_wait(&self, view: &View) -> Duration {
         match view.stored_size.size {
             _ if self.first_start => SEED_WAIT_FIRST_START,
@@ -142,14 +146,15 @@
         }
     }
 
-    /// Gives the entry up, and forgets after a while that the store has failed.
+    /// Gives up the entry. An announcement that the store answers is withdrawn immediately, an announcement
+    /// that it has failed only after `store_duty::TRY_AGAIN`.
     async fn release_entry(&mut self, now: Timestamp) -> Duration {
         if let Some(lease) = self.lease.take()
             && let Err(report) = self.store.end(lease).await
         {
-            // It lapses by itself.
+            // The lease expires by itself.
             let cause = report.current_context().to_string();
-            self.handle.journal.record(EventKind::Platform, "entry not given up", cause);
+            self.handle.journal.record(EventKind::Platform, "lease of the entry not ended", cause);
         }
         let (announced, at) = self.announced;
         let stale = announced == StoreReach::Fails && now.since(at) >= store_duty::TRY_AGAIN;
@@ -168,7 +173,8 @@
         if alone {
             self.read_peers().await?;
         }
-        // Who has only just started joins through the others' entries and needs none of its own.
+        // A process that has only just started joins through the entries of others and needs no entry of
+        // its own.
         if self.handle.clock.now().since(self.started) < KEEPER_MIN_AGE {
             return Ok(());
         }
@@ -190,7 +196,7 @@
         self.write_size().await
     }
 
-    /// Writes the fleet's size, as the first of the keepers, if it has changed for good.
+    /// Writes the fleet's size if this process is the first keeper and the size has changed lastingly.
     async fn write_size(&mut self) -> StoreResult<()> {
         let now = self.handle.clock.now();
         let Some(view) = &self.view else { return Ok(()) };
@@ -217,7 +223,7 @@
         Ok(())
     }
 
-    /// Takes a lease and writes the entry under it.
+    /// Obtains a lease and writes the entry under it.
     async fn write_entry(&mut self) -> StoreResult<()> {
         let lease = self.store.grant(self.ttl).await?;
         let key = format!("{PROCESS_PREFIX}{}", self.handle.process);
@@ -231,9 +237,10 @@
         Ok(())
     }
 
-    /// Reads where the keepers are.
+    /// Reads the addresses of the keepers from their entries.
     async fn read_peers(&mut self) -> StoreResult<()> {
-        // An address that is some seconds old leads to somebody who knows the others.
+        // Data that is some seconds old is enough: one address that is still valid leads to a process
+        // that knows the others.
         let page = self.store.list(PROCESS_PREFIX, "", Freshness::MayBeStale).await?;
         unreadable::record_entries(&self.handle, &page.unreadable);
         let mut peers = Vec::with_capacity(page.entries.len());
@@ -241,7 +248,11 @@
             let control = std::str::from_utf8(&entry.value).ok().and_then(|text| text.parse().ok());
             match control {
                 Some(addr) => peers.push(addr),
-                None => unreadable::record_entry(&self.handle, &entry.key, "not an address"),
+                None => unreadable::record_entry(
+                    &self.handle,
+                    &entry.key,
+                    "value is not a socket address",
+                ),
             }
         }
         self.handle.add_seeds(peers);
--- a/crates/dillmill-flow/src/unreadable.rs
+++ b/crates/dillmill-flow/src/unreadable.rs
@@ -1,13 +1,13 @@
-//! Entries of the store that another writer has left, and that can't be used.
+//! Counts and logs store entries that another writer has left and that can't be used.
 
 use dillmill_core::EventKind;
 use dillmill_node::NodeHandle;
 use dillmill_platform::UnreadableEntry;
 
-/// Lines for one answer of the store; the counter tells of the rest.
+/// Most log lines for one response of the store; further entries are only counted.
 const MAX_LINES: usize = 4;
 
-/// Counts and logs entries that can't be read.
+/// Counts and logs entries that can't be decoded.
 pub(crate) fn record_entries(handle: &NodeHandle, entries: &[UnreadableEntry]) {
     for entry in entries.iter().take(MAX_LINES) {
         record_entry(handle, &entry.key, &entry.reason);
--- a/crates/dillmill-flow/src/uplink.rs
+++ b/crates/dillmill-flow/src/uplink.rs
@@ -1,4 +1,4 @@
-//! The way out of a VM: packets of flows wait here for its link.
+//! Queues outgoing packets of flows so that a VM's link is not overloaded.
 
 use std::net::SocketAddrV4;
 
@@ -11,16 +11,16 @@
 
 use crate::sockets;
 
-/// Sends the packets of flows, no faster than the VM's link takes them.
+/// Sends packets of flows no faster than the rate of the VM's link.
 #[derive(Debug)]
 pub struct Uplink {
     socket: UdpSocket,
     queue: LinkQueue,
     traffic: Traffic,
-    /// Bytes sent past the queue that it has been charged with.
+    /// Bytes sent around the queue that have been charged to it so far.
     charged: u64,
     link_free: flume::Sender<()>,
-    /// A timer for the next packet runs.
+    /// Whether a timer for the next packet is running.
     timer_running: bool,
     counters: UplinkCounters,
 }
@@ -50,11 +50,12 @@
 }
 
 impl Uplink {
-    /// Creates the way out through `socket` over a link of `rate`, and what tells when [`Uplink::release`] is due.
+    /// Creates an uplink that sends through `socket` over a link of `rate`, and the channel that signals
+    /// when [`Uplink::release`] is due.
     ///
     /// # Errors
     ///
-    /// Fails if the name of a metric is taken.
+    /// Fails if a metric name is already registered.
     pub fn new(
         socket: UdpSocket,
         rate: Option<LinkRate>,
@@ -74,7 +75,7 @@
         Ok((uplink, released))
     }
 
-    /// Sends a packet, or lets it wait for the link. Returns the flow that lost a packet, if too much waits.
+    /// Sends a packet, or queues it for the link. Returns the flow that lost a packet if the queue is full.
     pub async fn send(
         &mut self,
         kind: TrafficKind,
@@ -82,7 +83,7 @@
         now: Timestamp,
     ) -> Option<FlowTuple> {
         let len = departure.buf.len();
-        self.charge();
+        self.charge_bypassing();
         match self.queue.offer(departure, now) {
             Admission::Leave(departure) => {
                 self.traffic.sent(kind, len);
@@ -106,13 +107,13 @@
         }
     }
 
-    /// Returns the bytes that wait.
+    /// Returns the bytes that are queued.
     #[must_use]
     pub fn queued(&self) -> i64 {
         self.queue.bytes()
     }
 
-    /// Sends a packet of our own at once, whatever waits.
+    /// Sends a packet of this process, such as a reset, immediately and around the queue.
     pub async fn send_at_once(&self, kind: TrafficKind, buf: Vec<u8>, to: SocketAddrV4) {
         self.traffic.sent_at_once(kind, buf.len());
         if !sockets::send(&self.socket, buf, to).await {
@@ -120,10 +121,10 @@
         }
     }
 
-    /// Sends what the link takes now.
+    /// Sends the queued packets that the link can take now.
     pub async fn release(&mut self, now: Timestamp) {
         self.timer_running = false;
-        self.charge();
+        self.charge_bypassing();
         while let Some(departure) = self.queue.take(now) {
             self.transmit(departure).await;
         }
@@ -141,13 +142,13 @@
         self.arm_timer();
     }
 
-    fn charge(&mut self) {
+    fn charge_bypassing(&mut self) {
         let at_once = self.traffic.at_once();
         self.queue.charge(at_once - self.charged);
         self.charged = at_once;
     }
 
-    /// Sets the timer for the next packet, if one waits and no timer runs.
+    /// Starts the timer for the next packet if one is queued and no timer is running.
     fn arm_timer(&mut self) {
         let delay = self.queue.delay();
         self.counters.delay_ms.set(i64::try_from(delay.as_millis()).unwrap_or(i64::MAX));
@@ -156,14 +157,14 @@
         let link_free = self.link_free.clone();
         compio::runtime::spawn(async move {
             compio::time::sleep(next_in).await;
-            // Fails only when the task has ended.
+            // Fails only if the receiving task has ended.
             let _ = link_free.send(());
         })
         .detach();
     }
 }
 
-/// Returns what a packet of an open or opening flow counts as.
+/// Returns the traffic kind that a flow's packet is counted under.
 #[must_use]
 pub fn traffic_kind(seg: &Segment) -> TrafficKind {
     match seg.kind {
