--- a/crates/dillmill-agent/src/ledger.rs
+++ b/crates/dillmill-agent/src/ledger.rs
@@ -6,7 +6,7 @@
 
 use dillmill_core::Timestamp;
 use dillmill_core::claims::{
-    BeginError, Claim, ClaimKey, ClaimLedger, Epoch, Finding, HandedRecord, Inquiry, Phase, Ring,
+    BeginError, Claim, ClaimKey, ClaimLedger, Epoch, Finding, HandoverRecord, Inquiry, Phase, Ring,
     RingMember,
 };
 use dillmill_node::Clock;
@@ -34,7 +34,7 @@
 }
 
 /// A record and its answer, as passed between agents.
-pub type Handed = (HandedRecord, Option<CachedResponse>);
+pub type Handed = (HandoverRecord, Option<CachedResponse>);
 
 enum Input {
     Enter(ClaimKey, flume::Sender<Entry>),
@@ -314,7 +314,7 @@
     }
 
     fn hand_over(&self, leaving: bool) -> Vec<(RingMember, Vec<Handed>)> {
-        let with_answer = |record: HandedRecord| {
+        let with_answer = |record: HandoverRecord| {
             let answer = match self.kept.get(&record.key) {
                 Some(Outcome::Answer(answer)) if answer.body.len() <= MAX_HANDED_ANSWER => {
                     Some((**answer).clone())
@@ -328,7 +328,7 @@
     }
 
     fn take_over(&mut self, handed: Vec<Handed>, now: Timestamp) {
-        let records: Vec<HandedRecord> = handed.iter().map(|(record, _)| *record).collect();
+        let records: Vec<HandoverRecord> = handed.iter().map(|(record, _)| *record).collect();
         self.ledger.take_over(&records, now);
         for (record, answer) in handed {
             if let Some(answer) = answer
--- a/crates/dillmill-agent/src/return_path.rs
+++ b/crates/dillmill-agent/src/return_path.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillmill_core::Timestamp;
-use dillmill_core::membership::Draw;
+use dillmill_core::membership::RandomIndex;
 
 /// While a caller's packets came through a balancer this recently, answers go back through it.
 pub const FRESH: Duration = Duration::from_millis(300);
@@ -33,7 +33,7 @@
         caller: SocketAddr,
         serving: &[SocketAddr],
         now: Timestamp,
-        draw: &mut Draw<'_>,
+        draw: &mut RandomIndex<'_>,
     ) -> Option<SocketAddr> {
         match self.heard.get(&caller) {
             Some((balancer, at)) if now.since(*at) < FRESH => Some(*balancer),
--- a/crates/dillmill-agent/src/ring_task.rs
+++ b/crates/dillmill-agent/src/ring_task.rs
@@ -157,12 +157,12 @@
 /// Passes on the records of the time when this agent was alone in its ring.
 async fn cover(cx: &AgentContext, store: &RingStore, ring: &Ring) {
     let me = cx.me.process;
-    let was_alone = ring.past.iter().any(|past| past.is_alone(me));
+    let was_alone = ring.past.iter().any(|past| past.is_sole_member(me));
     if !was_alone || ring.members.len() < 2 || !pass_on(cx, false).await {
         return;
     }
     let covered = store
-        .change(|present| (present.epoch == ring.epoch).then(|| present.with_covered(me)))
+        .change(|present| (present.epoch == ring.epoch).then(|| present.without_sole_rings(me)))
         .await;
     if let Ok((ring, by_us)) = covered {
         if by_us {
--- a/crates/dillmill-core/src/caller_packets.rs
+++ b/crates/dillmill-core/src/caller_packets.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::generations::Generations;
+use crate::generation_cache::GenerationCache;
 use crate::segment::{Segment, SegmentKind};
 use crate::{FlowTuple, Timestamp};
 
@@ -19,12 +19,12 @@
 /// The shortest packet from the caller of each flow.
 #[derive(Debug)]
 pub struct CallerPackets {
-    packets: Generations<FlowTuple, Box<[u8]>>,
+    packets: GenerationCache<FlowTuple, Box<[u8]>>,
 }
 
 impl Default for CallerPackets {
     fn default() -> Self {
-        Self { packets: Generations::new(LIFETIME, CAPACITY) }
+        Self { packets: GenerationCache::new(LIFETIME, CAPACITY) }
     }
 }
 
--- a/crates/dillmill-core/src/claims.rs
+++ b/crates/dillmill-core/src/claims.rs
@@ -22,7 +22,7 @@
 mod ring;
 
 pub use answer::{
-    BeginError, Claim, ClaimAnswer, Finding, HandedRecord, HandedStanding, Inquiry, Phase,
+    BeginError, Claim, ClaimAnswer, Finding, HandoverRecord, HandoverState, Inquiry, Phase,
 };
 pub use ledger::ClaimLedger;
 pub use ring::{ClaimKey, Epoch, PastRing, Ring, RingMember};
--- a/crates/dillmill-core/src/claims/answer.rs
+++ b/crates/dillmill-core/src/claims/answer.rs
@@ -78,23 +78,23 @@
 
 /// A record that a leaving agent passes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedRecord {
+pub struct HandoverRecord {
     /// The key.
     pub key: ClaimKey,
     /// The agent that held it.
     pub holder: RingMember,
     /// What is passed on.
-    pub standing: HandedStanding,
+    pub state: HandoverState,
 }
 
 /// What a leaving agent knows of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HandedStanding {
+pub enum HandoverState {
     /// The holder was granted it in this epoch.
     Granted(Epoch),
     /// The holder, another agent or the one that passes this on and stays, has dispatched it.
     Dispatched,
     /// The agent that passes this on and leaves has dispatched it; whoever takes it over answers
     /// for it from now on.
-    Left(Phase),
+    DispatchedByLeaver(Phase),
 }
--- a/crates/dillmill-core/src/claims/ledger.rs
+++ b/crates/dillmill-core/src/claims/ledger.rs
@@ -98,7 +98,7 @@
     /// Returns how far this agent has got with `key`, if it has dispatched it.
     #[must_use]
     pub fn phase(&self, key: ClaimKey) -> Option<Phase> {
-        match self.records.get(&key)?.standing {
+        match self.records.get(&key)?.state {
             Standing::Dispatched(phase) => Some(phase),
             Standing::Granted(_) | Standing::DispatchedElsewhere => None,
         }
@@ -116,7 +116,7 @@
         if let Some(record) = self.settled(key) {
             // A holder that is gone is not asked here: the asking agent tries to reach it and
             // answers "unknown" when it can't.
-            let answer = match (record.holder.process == by.process, record.standing) {
+            let answer = match (record.holder.process == by.process, record.state) {
                 (false, _) => ClaimAnswer::Held(record.holder),
                 (true, Standing::Granted(_)) => ClaimAnswer::Granted,
                 // It was to answer for a dispatch of another, and has not heard of it.
@@ -135,7 +135,7 @@
     /// Returns the record of `key` if it answers a claim without asking anyone.
     fn settled(&self, key: ClaimKey) -> Option<Record> {
         let record = self.records.get(&key)?;
-        match record.standing {
+        match record.state {
             Standing::Granted(epoch) if epoch < self.ring.epoch => None,
             _ => Some(*record),
         }
@@ -148,10 +148,8 @@
     }
 
     fn grant(&mut self, key: ClaimKey, by: RingMember, now: Timestamp) -> ClaimAnswer {
-        self.records.insert(
-            key,
-            Record { holder: by, standing: Standing::Granted(self.ring.epoch), at: now },
-        );
+        self.records
+            .insert(key, Record { holder: by, state: Standing::Granted(self.ring.epoch), at: now });
         ClaimAnswer::Granted
     }
 
@@ -165,7 +163,7 @@
             return Inquiry::NewerEpoch(self.ring.clone());
         }
         let Some(record) = self.records.get(&key) else { return Inquiry::Free };
-        match record.standing {
+        match record.state {
             Standing::Dispatched(phase) => Inquiry::Dispatched(phase),
             Standing::DispatchedElsewhere => Inquiry::DispatchedBy(record.holder),
             Standing::Granted(_) if record.holder.process == self.me.process => Inquiry::Free,
@@ -184,7 +182,7 @@
         if epoch != self.ring.epoch {
             return false;
         }
-        let copy = Record { holder, standing: Standing::Granted(epoch), at: now };
+        let copy = Record { holder, state: Standing::Granted(epoch), at: now };
         if self.phase(key).is_none() {
             self.records.insert(key, copy);
         }
@@ -203,16 +201,16 @@
         if self.phase(key).is_some() {
             return Err(BeginError::Dispatched);
         }
-        let standing = Standing::Dispatched(Phase::InFlight);
-        let record = Record { holder: self.me, standing, at: now };
+        let state = Standing::Dispatched(Phase::InFlight);
+        let record = Record { holder: self.me, state, at: now };
         self.records.insert(key, record);
         Ok(())
     }
 
     /// Records how a dispatch ended.
     pub fn end(&mut self, key: ClaimKey, phase: Phase, now: Timestamp) {
-        let standing = Standing::Dispatched(phase);
-        let record = Record { holder: self.me, standing, at: now };
+        let state = Standing::Dispatched(phase);
+        let record = Record { holder: self.me, state, at: now };
         self.records.insert(key, record);
     }
 
@@ -223,8 +221,7 @@
 
     /// Frees a key that `by` was granted and never dispatched.
     pub fn release(&mut self, key: ClaimKey, by: ProcessId) {
-        let unused =
-            |r: &Record| r.holder.process == by && matches!(r.standing, Standing::Granted(_));
+        let unused = |r: &Record| r.holder.process == by && matches!(r.state, Standing::Granted(_));
         if self.records.get(&key).is_some_and(unused) {
             self.records.remove(&key);
         }
@@ -237,7 +234,7 @@
             .records
             .iter()
             .filter(|(_, r)| {
-                now.since(r.at) >= window && r.standing != Standing::Dispatched(Phase::InFlight)
+                now.since(r.at) >= window && r.state != Standing::Dispatched(Phase::InFlight)
             })
             .map(|(key, _)| *key)
             .collect();
--- a/crates/dillmill-core/src/claims/ledger/consulting.rs
+++ b/crates/dillmill-core/src/claims/ledger/consulting.rs
@@ -43,8 +43,8 @@
             return self.claim(key, epoch, by, now);
         }
         if let Some(holder) = dispatcher(findings) {
-            let standing = Standing::DispatchedElsewhere;
-            self.records.insert(key, Record { holder, standing, at: now });
+            let state = Standing::DispatchedElsewhere;
+            self.records.insert(key, Record { holder, state, at: now });
             return self.claim(key, epoch, by, now);
         }
         if self.named_holder_is_lost(key, findings) {
--- a/crates/dillmill-core/src/claims/ledger/handing_over.rs
+++ b/crates/dillmill-core/src/claims/ledger/handing_over.rs
@@ -4,7 +4,7 @@
 
 use super::{ClaimLedger, Record, Standing};
 use crate::Timestamp;
-use crate::claims::answer::{HandedRecord, HandedStanding, Phase};
+use crate::claims::answer::{HandoverRecord, HandoverState, Phase};
 use crate::claims::ring::{RingMember, ranked};
 
 impl ClaimLedger {
@@ -14,33 +14,31 @@
     /// Call it after the ring was adopted whose authorities are to have the records: one without
     /// this agent if it is `leaving`.
     #[must_use]
-    pub fn hand_over(&self, leaving: bool) -> BTreeMap<RingMember, Vec<HandedRecord>> {
-        let mut parts: BTreeMap<RingMember, Vec<HandedRecord>> = BTreeMap::new();
+    pub fn hand_over(&self, leaving: bool) -> BTreeMap<RingMember, Vec<HandoverRecord>> {
+        let mut parts: BTreeMap<RingMember, Vec<HandoverRecord>> = BTreeMap::new();
         for (key, record) in &self.records {
-            let standing = match record.standing {
-                Standing::Granted(epoch) => HandedStanding::Granted(epoch),
+            let state = match record.state {
+                Standing::Granted(epoch) => HandoverState::Granted(epoch),
                 // What is still in flight when the agent leaves will never be known.
                 Standing::Dispatched(Phase::InFlight) if leaving => {
-                    HandedStanding::Left(Phase::Unknown)
+                    HandoverState::DispatchedByLeaver(Phase::Unknown)
                 }
-                Standing::Dispatched(phase) if leaving => HandedStanding::Left(phase),
+                Standing::Dispatched(phase) if leaving => HandoverState::DispatchedByLeaver(phase),
                 Standing::Dispatched(_) | Standing::DispatchedElsewhere => {
-                    HandedStanding::Dispatched
+                    HandoverState::Dispatched
                 }
             };
             let mut heirs = ranked(&self.ring.members, *key);
             heirs.retain(|m| m.process != self.me.process);
             let Some(first) = heirs.first().copied() else { continue };
-            let handed = HandedRecord { key: *key, holder: record.holder, standing };
+            let handed = HandoverRecord { key: *key, holder: record.holder, state };
             parts.entry(first).or_default().push(handed);
             if let Some(second) = heirs.get(1) {
-                let copy = match standing {
-                    HandedStanding::Left(_) => HandedRecord {
-                        holder: first,
-                        standing: HandedStanding::Dispatched,
-                        ..handed
-                    },
-                    HandedStanding::Granted(_) | HandedStanding::Dispatched => handed,
+                let copy = match state {
+                    HandoverState::DispatchedByLeaver(_) => {
+                        HandoverRecord { holder: first, state: HandoverState::Dispatched, ..handed }
+                    }
+                    HandoverState::Granted(_) | HandoverState::Dispatched => handed,
                 };
                 parts.entry(*second).or_default().push(copy);
             }
@@ -49,24 +47,24 @@
     }
 
     /// Takes over records of another agent.
-    pub fn take_over(&mut self, records: &[HandedRecord], now: Timestamp) {
+    pub fn take_over(&mut self, records: &[HandoverRecord], now: Timestamp) {
         for handed in records {
-            let (holder, standing) = match handed.standing {
-                HandedStanding::Granted(epoch) => (handed.holder, Standing::Granted(epoch)),
-                HandedStanding::Dispatched => (handed.holder, Standing::DispatchedElsewhere),
-                HandedStanding::Left(phase) => (self.me, Standing::Dispatched(phase)),
+            let (holder, state) = match handed.state {
+                HandoverState::Granted(epoch) => (handed.holder, Standing::Granted(epoch)),
+                HandoverState::Dispatched => (handed.holder, Standing::DispatchedElsewhere),
+                HandoverState::DispatchedByLeaver(phase) => (self.me, Standing::Dispatched(phase)),
             };
             let known = self.records.get(&handed.key);
-            let replaces = match handed.standing {
+            let replaces = match handed.state {
                 // What this agent did itself it knows best.
                 _ if self.phase(handed.key).is_some() => false,
-                HandedStanding::Granted(epoch) => known.is_none_or(|r| r.standing.is_before(epoch)),
-                HandedStanding::Dispatched | HandedStanding::Left(_) => {
-                    known.is_none_or(|r| r.holder == handed.holder || !r.standing.is_dispatched())
+                HandoverState::Granted(epoch) => known.is_none_or(|r| r.state.is_before(epoch)),
+                HandoverState::Dispatched | HandoverState::DispatchedByLeaver(_) => {
+                    known.is_none_or(|r| r.holder == handed.holder || !r.state.is_dispatched())
                 }
             };
             if replaces {
-                self.records.insert(handed.key, Record { holder, standing, at: now });
+                self.records.insert(handed.key, Record { holder, state, at: now });
             }
         }
     }
--- a/crates/dillmill-core/src/claims/ledger/record.rs
+++ b/crates/dillmill-core/src/claims/ledger/record.rs
@@ -27,6 +27,6 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Record {
     pub(super) holder: RingMember,
-    pub(super) standing: Standing,
+    pub(super) state: Standing,
     pub(super) at: Timestamp,
 }
--- a/crates/dillmill-core/src/claims/ring.rs
+++ b/crates/dillmill-core/src/claims/ring.rs
@@ -39,7 +39,7 @@
 impl PastRing {
     /// Returns whether `process` was the only agent.
     #[must_use]
-    pub fn is_alone(&self, process: ProcessId) -> bool {
+    pub fn is_sole_member(&self, process: ProcessId) -> bool {
         self.members.len() == 1 && self.members[0].process == process
     }
 }
@@ -85,9 +85,9 @@
     /// Only `process` may do this, after it has passed all its records to the authorities of this
     /// ring: until then nobody else has copies, and its loss would leave every key unknown.
     #[must_use]
-    pub fn with_covered(&self, process: ProcessId) -> Self {
+    pub fn without_sole_rings(&self, process: ProcessId) -> Self {
         let mut next = self.changed(&[], &[], Epoch::default());
-        next.past.retain(|past| !past.is_alone(process));
+        next.past.retain(|past| !past.is_sole_member(process));
         next
     }
 
--- a/crates/dillmill-core/src/early_packets.rs
+++ b/crates/dillmill-core/src/early_packets.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::generations::Generations;
+use crate::generation_cache::GenerationCache;
 use crate::link_queue::PacketId;
 use crate::{FlowTuple, Timestamp};
 
@@ -31,13 +31,13 @@
 /// The packets that a balancer could not route yet.
 #[derive(Debug)]
 pub struct EarlyPackets {
-    kept: Generations<(FlowTuple, PacketId), EarlyPacket>,
+    kept: GenerationCache<(FlowTuple, PacketId), EarlyPacket>,
     last_taken: Timestamp,
 }
 
 impl Default for EarlyPackets {
     fn default() -> Self {
-        Self { kept: Generations::new(LIFETIME, CAPACITY), last_taken: Timestamp::default() }
+        Self { kept: GenerationCache::new(LIFETIME, CAPACITY), last_taken: Timestamp::default() }
     }
 }
 
--- a/crates/dillmill-core/src/flow_directory.rs
+++ b/crates/dillmill-core/src/flow_directory.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::generations::Generations;
+use crate::generation_cache::GenerationCache;
 use crate::{FlowTuple, ProcessId, Timestamp};
 
 /// Time for which a record is kept: longer than the age of the oldest flow that must be found
@@ -37,12 +37,12 @@
 /// The records that a directory keeps for other agents.
 #[derive(Debug)]
 pub struct FlowDirectory {
-    records: Generations<FlowTuple, Vec<FlowRecord>>,
+    records: GenerationCache<FlowTuple, Vec<FlowRecord>>,
 }
 
 impl Default for FlowDirectory {
     fn default() -> Self {
-        Self { records: Generations::new(RECORD_LIFETIME, CAPACITY) }
+        Self { records: GenerationCache::new(RECORD_LIFETIME, CAPACITY) }
     }
 }
 
--- a/crates/dillmill-core/src/flow_gate.rs
+++ b/crates/dillmill-core/src/flow_gate.rs
@@ -19,7 +19,7 @@
 use crate::cold_start::ColdStart;
 use crate::envelope::{Envelope, PacketPurpose};
 use crate::flow_directory::{FlowDirectory, FlowRecord};
-use crate::generations::Generations;
+use crate::generation_cache::GenerationCache;
 use crate::open_queue::OpenQueue;
 use crate::segment::{Segment, SegmentKind};
 use crate::target_flows::TargetFlows;
@@ -98,7 +98,7 @@
     next_trial: usize,
     /// Flows whose packets the target has returned. The target can only come to hold such a flow
     /// through an opening packet that passes this gate.
-    not_held: Generations<FlowTuple, ()>,
+    not_held: GenerationCache<FlowTuple, ()>,
 }
 
 impl FlowGate {
@@ -124,7 +124,7 @@
             dispatched: VecDeque::new(),
             trials: vec![None; MAX_TRIALS],
             next_trial: 0,
-            not_held: Generations::new(FULL_COVERAGE_AFTER, NOT_HELD_CAPACITY),
+            not_held: GenerationCache::new(FULL_COVERAGE_AFTER, NOT_HELD_CAPACITY),
         }
     }
 
--- a/crates/dillmill-core/src/generations.rs
+++ b/crates/dillmill-core/src/generation_cache.rs
@@ -12,7 +12,7 @@
 /// dropped whole and the young one takes its place, so an entry is kept for one to two lifetimes
 /// after its last use and no entry is ever looked for to be dropped.
 #[derive(Debug)]
-pub struct Generations<K, V> {
+pub struct GenerationCache<K, V> {
     young: HashMap<K, V>,
     old: HashMap<K, V>,
     lifetime: Duration,
@@ -20,7 +20,7 @@
     turned: Option<Timestamp>,
 }
 
-impl<K: Copy + Eq + Hash, V> Generations<K, V> {
+impl<K: Copy + Eq + Hash, V> GenerationCache<K, V> {
     /// Creates a map; a generation of `capacity` entries makes room by dropping the old one.
     #[must_use]
     pub fn new(lifetime: Duration, capacity: usize) -> Self {
--- a/crates/dillmill-core/src/lib.rs
+++ b/crates/dillmill-core/src/lib.rs
@@ -28,9 +28,9 @@
 //! | [`retry_budget`] | whether a request may be tried once more |
 //! | [`cold_start`] | how many requests a target gets that has only just started |
 //! | [`warm_up`] | how many slots a target that has just started gets |
-//! | [`watch_duty`] | which processes hold a watch at the platform |
+//! | [`watcher_selection`] | which processes hold a watch at the platform |
 //! | [`start_patience`] | how long a process that starts waits for peers before it asks the platform's store |
-//! | [`store_duty`] | which processes keep an entry in the platform's store for others to join through |
+//! | [`store_selection`] | which processes keep an entry in the platform's store for others to join through |
 
 pub mod agent_table;
 pub mod answer_norms;
@@ -48,7 +48,7 @@
 pub mod flow_placement;
 pub mod flow_tuple;
 pub mod flow_volume;
-pub mod generations;
+pub mod generation_cache;
 pub mod home_table;
 pub mod interval;
 pub mod link_admission;
@@ -62,7 +62,7 @@
 pub mod outcomes;
 pub mod owner_cache;
 pub mod patience;
-pub mod pause_watch;
+pub mod pause_detector;
 pub mod pending_searches;
 pub mod placement;
 pub mod registrations;
@@ -73,14 +73,14 @@
 pub mod segment;
 pub mod service_tag;
 pub mod start_patience;
-pub mod store_duty;
+pub mod store_selection;
 pub mod target_flows;
 pub mod target_pace;
 pub mod target_run;
 pub mod target_runs;
 pub mod timestamp;
 pub mod warm_up;
-pub mod watch_duty;
+pub mod watcher_selection;
 
 pub use agent_table::{AgentEntry, AgentTable};
 pub use caller_packets::CallerPackets;
@@ -106,7 +106,7 @@
 pub use numbers::{Percent, ProcessId, Revision, ServiceNumber, Slots, Weight};
 pub use open_queue::OpenQueue;
 pub use owner_cache::{Owner, OwnerCache};
-pub use pause_watch::PauseWatch;
+pub use pause_detector::PauseDetector;
 pub use pending_searches::PendingSearches;
 pub use registrations::{RecordBatch, Registrations};
 pub use route_table::{RouteEntry, RouteTable};
--- a/crates/dillmill-core/src/membership.rs
+++ b/crates/dillmill-core/src/membership.rs
@@ -8,10 +8,10 @@
 //!
 //! | Part | Holds |
 //! |---|---|
-//! | `roster` | all records, found by address, standing and data centre, or drawn at random |
+//! | `peer_table` | all records, found by address, standing and data centre, or drawn at random |
 //! | `records` | which of two records holds, and which is news |
 //! | `probing` | who is asked, and what no answer means |
-//! | `doubts` | who was held for down by silence just now, and may object |
+//! | `unconfirmed_downs` | who was held for down by silence just now, and may object |
 //! | `joining` | how a process finds others and compares records with them |
 //! | `settling` | whether all processes are known |
 //!
@@ -25,24 +25,26 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{Member, MemberStatus, PauseWatch, ProcessId, Revision, Role, ServiceName, Timestamp};
+use crate::{
+    Member, MemberStatus, PauseDetector, ProcessId, Revision, Role, ServiceName, Timestamp,
+};
 
-mod doubts;
-mod drawn_set;
 mod fleet_size;
 mod joining;
+mod peer_table;
 mod probe;
 mod probing;
 mod record_buckets;
 mod records;
-mod roster;
+mod sampling_set;
 mod settling;
+mod unconfirmed_downs;
 
-use doubts::Doubts;
-use roster::Roster;
+use peer_table::PeerTable;
+use unconfirmed_downs::UnconfirmedDowns;
 
 pub use fleet_size::{FleetSize, StoredSize};
-pub use probe::{Digest, Draw, MemberChange, Outgoing, Probe};
+pub use probe::{Digest, MemberChange, Outgoing, Probe, RandomIndex};
 pub use record_buckets::RecordBuckets;
 
 /// Others to which a new record is passed at once.
@@ -82,8 +84,8 @@
 #[derive(Debug)]
 pub struct Membership {
     me: Arc<Member>,
-    others: Roster,
-    doubts: Doubts,
+    others: PeerTable,
+    unconfirmed_downs: UnconfirmedDowns,
     seq: u32,
     pending: Option<Pending>,
     relays: Vec<Relay>,
@@ -101,7 +103,7 @@
     last_newcomer: Option<Timestamp>,
     /// When a peer last showed which records it holds.
     last_compared: Option<Timestamp>,
-    pauses: PauseWatch,
+    pauses: PauseDetector,
     revision: Revision,
     evacuations: Revision,
     stored_size: StoredSize,
@@ -123,8 +125,8 @@
         Self {
             fresh: VecDeque::from([me.process]),
             is_fresh: HashSet::from([me.process]),
-            others: Roster::new(me.zone.clone()),
-            doubts: Doubts::default(),
+            others: PeerTable::new(me.zone.clone()),
+            unconfirmed_downs: UnconfirmedDowns::default(),
             me: Arc::new(me),
             seq: 0,
             pending: None,
@@ -138,7 +140,7 @@
             agrees: false,
             last_newcomer: None,
             last_compared: None,
-            pauses: PauseWatch::new(PAUSE),
+            pauses: PauseDetector::new(PAUSE),
             revision: Revision::default(),
             evacuations: Revision::default(),
             stored_size: StoredSize::default(),
@@ -171,7 +173,7 @@
     #[must_use]
     pub fn shared(&self) -> Vec<Arc<Member>> {
         let shown = |member: &Arc<Member>| {
-            if self.doubts.contains(member.process) {
+            if self.unconfirmed_downs.contains(member.process) {
                 Arc::new(Member { status: MemberStatus::Suspect, ..Member::clone(member) })
             } else {
                 member.clone()
@@ -246,16 +248,16 @@
     /// Returns a ping that shows this process's digest; no answer to it is waited for.
     #[must_use]
     pub fn announcement(&self) -> Probe {
-        Probe::Ping { seq: ABOUT_SEQ, digest: self.digest(), about_you: None }
+        Probe::Ping { seq: ABOUT_SEQ, digest: self.digest(), receiver_record: None }
     }
 
     /// Returns a random peer that is not down.
-    pub fn random_peer(&self, draw: &mut Draw<'_>) -> Option<SocketAddrV4> {
+    pub fn random_peer(&self, draw: &mut RandomIndex<'_>) -> Option<SocketAddrV4> {
         self.random_peers(1, draw).first().copied()
     }
 
     /// Returns up to `n` random peers that are not down.
-    pub fn random_peers(&self, n: usize, draw: &mut Draw<'_>) -> Vec<SocketAddrV4> {
+    pub fn random_peers(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<SocketAddrV4> {
         self.others.draw(n, draw).into_iter().map(|m| m.control).collect()
     }
 }
--- a/crates/dillmill-core/src/membership/joining.rs
+++ b/crates/dillmill-core/src/membership/joining.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use super::{ABOUT_SEQ, Digest, Draw, Membership, Outgoing, Probe, RecordBuckets, SyncPeer};
+use super::{ABOUT_SEQ, Digest, Membership, Outgoing, Probe, RandomIndex, RecordBuckets, SyncPeer};
 use crate::{Member, MemberStatus, ProcessId, Timestamp};
 
 const JOIN_INTERVAL: Duration = Duration::from_millis(100);
@@ -36,7 +36,7 @@
         self.joins.extend(self.seeds.iter().skip(first).take(SEEDS_AT_ONCE));
     }
 
-    pub(super) fn try_seed(&mut self, now: Timestamp, draw: &mut Draw<'_>) {
+    pub(super) fn try_seed(&mut self, now: Timestamp, draw: &mut RandomIndex<'_>) {
         if self.seeds.is_empty() || now < self.next_seed {
             return;
         }
@@ -50,7 +50,7 @@
     }
 
     /// Returns what makes this process known to seeds that are to be asked, whose answers tell of some others.
-    pub fn take_joins(&mut self) -> Vec<Outgoing> {
+    pub fn take_join_messages(&mut self) -> Vec<Outgoing> {
         let mut out = Vec::new();
         for to in std::mem::take(&mut self.joins) {
             out.push(Outgoing { to, probe: Probe::Records(vec![Member::clone(&self.me)]) });
@@ -84,14 +84,14 @@
     }
 
     /// Has records compared with another peer soon: one that was asked has not answered.
-    pub fn compare_again(&mut self, now: Timestamp) {
+    pub fn retry_sync(&mut self, now: Timestamp) {
         if self.is_young(now) {
             self.next_sync = now;
         }
     }
 
     /// Returns a peer to compare all records with.
-    pub fn take_wants_sync(&mut self, draw: &mut Draw<'_>) -> Option<SocketAddrV4> {
+    pub fn next_sync_peer(&mut self, draw: &mut RandomIndex<'_>) -> Option<SocketAddrV4> {
         match self.wants_sync.pop_front()? {
             SyncPeer::This(peer) => Some(peer),
             SyncPeer::Any => self.random_peer(draw),
--- a/crates/dillmill-core/src/membership/roster.rs
+++ b/crates/dillmill-core/src/membership/peer_table.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::drawn_set::DrawnSet;
-use super::{Draw, record_hash};
+use super::sampling_set::SamplingSet;
+use super::{RandomIndex, record_hash};
 use crate::{Member, MemberStatus, ProcessId, Timestamp, ZoneName};
 
 #[derive(Debug, Clone)]
@@ -18,30 +18,30 @@
 
 /// The records of all other processes.
 #[derive(Debug)]
-pub(super) struct Roster {
+pub(super) struct PeerTable {
     zone: ZoneName,
     entries: BTreeMap<ProcessId, Entry>,
     by_address: HashMap<SocketAddrV4, Vec<ProcessId>>,
     /// Those that are not down, and those of them in the own data centre.
-    up: DrawnSet<ProcessId>,
-    near: DrawnSet<ProcessId>,
-    suspect: DrawnSet<ProcessId>,
+    up: SamplingSet<ProcessId>,
+    near: SamplingSet<ProcessId>,
+    suspect: SamplingSet<ProcessId>,
     /// Those that are down, other than those whose address another run has taken over.
-    lost: DrawnSet<ProcessId>,
+    lost: SamplingSet<ProcessId>,
     hash: u64,
 }
 
-impl Roster {
+impl PeerTable {
     /// Creates the roster of a process in data centre `zone`.
     pub(super) fn new(zone: ZoneName) -> Self {
         Self {
             zone,
             entries: BTreeMap::new(),
             by_address: HashMap::new(),
-            up: DrawnSet::default(),
-            near: DrawnSet::default(),
-            suspect: DrawnSet::default(),
-            lost: DrawnSet::default(),
+            up: SamplingSet::default(),
+            near: SamplingSet::default(),
+            suspect: SamplingSet::default(),
+            lost: SamplingSet::default(),
             hash: 0,
         }
     }
@@ -76,22 +76,22 @@
     }
 
     /// Returns up to `n` processes that are not down.
-    pub(super) fn draw(&self, n: usize, draw: &mut Draw<'_>) -> Vec<&Arc<Member>> {
+    pub(super) fn draw(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<&Arc<Member>> {
         self.look_up(&self.up.draw(n, draw))
     }
 
     /// Returns up to `n` processes of the own data centre that are not down.
-    pub(super) fn draw_near(&self, n: usize, draw: &mut Draw<'_>) -> Vec<&Arc<Member>> {
+    pub(super) fn draw_near(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<&Arc<Member>> {
         self.look_up(&self.near.draw(n, draw))
     }
 
     /// Returns a process that is not down.
-    pub(super) fn draw_one(&self, draw: &mut Draw<'_>) -> Option<ProcessId> {
+    pub(super) fn draw_one(&self, draw: &mut RandomIndex<'_>) -> Option<ProcessId> {
         self.up.draw_one(draw)
     }
 
     /// Returns a process that is down and may come back.
-    pub(super) fn draw_lost(&self, draw: &mut Draw<'_>) -> Option<ProcessId> {
+    pub(super) fn draw_lost(&self, draw: &mut RandomIndex<'_>) -> Option<ProcessId> {
         self.lost.draw_one(draw)
     }
 
--- a/crates/dillmill-core/src/membership/probe.rs
+++ b/crates/dillmill-core/src/membership/probe.rs
@@ -35,7 +35,7 @@
         /// Sender's digest.
         digest: Digest,
         /// Sender's record of the receiver, so that it can refute a wrong one.
-        about_you: Option<Member>,
+        receiver_record: Option<Member>,
     },
     /// Answers a ping.
     Ack {
@@ -45,7 +45,7 @@
         digest: Digest,
     },
     /// Asks the receiver to ping `subject` and pass the answer on.
-    PingFor {
+    PingReq {
         /// Number of the probe at its sender.
         seq: u32,
         /// Control address to ping.
@@ -76,4 +76,4 @@
 }
 
 /// Draws an index below its argument.
-pub type Draw<'a> = dyn FnMut(usize) -> usize + 'a;
+pub type RandomIndex<'a> = dyn FnMut(usize) -> usize + 'a;
--- a/crates/dillmill-core/src/membership/probing.rs
+++ b/crates/dillmill-core/src/membership/probing.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    ABOUT_SEQ, Digest, Draw, Membership, Outgoing, Pending, Probe, RECORDS_PER_DATAGRAM, Relay,
+    ABOUT_SEQ, Digest, Membership, Outgoing, Pending, Probe, RECORDS_PER_DATAGRAM, RandomIndex,
+    Relay,
 };
 use crate::{Member, MemberStatus, ProcessId, Revision, Timestamp};
 
@@ -25,7 +26,7 @@
 
 impl Membership {
     /// Advances timers and returns what is to be sent; call it every 50 ms or so.
-    pub fn tick(&mut self, now: Timestamp, draw: &mut Draw<'_>) -> Vec<Outgoing> {
+    pub fn tick(&mut self, now: Timestamp, draw: &mut RandomIndex<'_>) -> Vec<Outgoing> {
         self.forgive_pause(now);
         let mut out = Vec::new();
         self.check_pending(now, draw, &mut out);
@@ -40,7 +41,7 @@
             self.probe_down(draw, &mut out);
         }
         self.try_seed(now, draw);
-        out.extend(self.take_joins());
+        out.extend(self.take_join_messages());
         self.spread(draw, &mut out);
         out
     }
@@ -56,7 +57,7 @@
     pub(super) fn check_pending(
         &mut self,
         now: Timestamp,
-        draw: &mut Draw<'_>,
+        draw: &mut RandomIndex<'_>,
         out: &mut Vec<Outgoing>,
     ) {
         let Some(pending) = self.pending else { return };
@@ -76,7 +77,7 @@
             let subject = entry.member.control;
             for to in self.random_peers(HELPERS, draw) {
                 if to != subject {
-                    let probe = Probe::PingFor { seq: pending.seq, subject };
+                    let probe = Probe::PingReq { seq: pending.seq, subject };
                     out.push(Outgoing { to, probe });
                 }
             }
@@ -87,7 +88,7 @@
         for process in self.others.suspect_for(SUSPECT_TIMEOUT, now) {
             self.set_status(process, MemberStatus::Down, now);
         }
-        if self.doubts.expire(now) {
+        if self.unconfirmed_downs.expire(now) {
             self.generation += 1;
         }
         if now >= self.next_forget {
@@ -100,7 +101,7 @@
     pub(super) fn probe_next(
         &mut self,
         now: Timestamp,
-        draw: &mut Draw<'_>,
+        draw: &mut RandomIndex<'_>,
         out: &mut Vec<Outgoing>,
     ) {
         let Some(subject) = self.others.draw_one(draw) else { return };
@@ -110,15 +111,16 @@
     }
 
     /// Pings a process that is held for down, other than one whose address another run has taken over.
-    pub(super) fn probe_down(&self, draw: &mut Draw<'_>, out: &mut Vec<Outgoing>) {
+    pub(super) fn probe_down(&self, draw: &mut RandomIndex<'_>, out: &mut Vec<Outgoing>) {
         let lost = self.others.draw_lost(draw);
         out.extend(lost.and_then(|process| self.ping(process, ABOUT_SEQ)));
     }
 
     pub(super) fn ping(&self, subject: ProcessId, seq: u32) -> Option<Outgoing> {
         let member = &self.others.get(subject)?.member;
-        let about_you = (member.status != MemberStatus::Serving).then(|| Member::clone(member));
-        let probe = Probe::Ping { seq, digest: self.digest(), about_you };
+        let receiver_record =
+            (member.status != MemberStatus::Serving).then(|| Member::clone(member));
+        let probe = Probe::Ping { seq, digest: self.digest(), receiver_record };
         Some(Outgoing { to: member.control, probe })
     }
 
@@ -128,20 +130,21 @@
         from: SocketAddrV4,
         probe: Probe,
         now: Timestamp,
-        draw: &mut Draw<'_>,
+        draw: &mut RandomIndex<'_>,
     ) -> Vec<Outgoing> {
         match probe {
-            Probe::Ping { seq, digest, about_you } => {
-                self.pinged(from, seq, digest, about_you, now, draw)
+            Probe::Ping { seq, digest, receiver_record } => {
+                self.pinged(from, seq, digest, receiver_record, now, draw)
             }
             Probe::Ack { seq, digest } => {
                 self.compare(from, digest, seq, now);
                 self.acknowledge(from, seq)
             }
-            Probe::PingFor { seq, subject } => {
+            Probe::PingReq { seq, subject } => {
                 self.seq = self.seq.wrapping_add(1).max(ABOUT_SEQ + 1);
                 self.relays.push(Relay { seq: self.seq, for_addr: from, for_seq: seq, sent: now });
-                let probe = Probe::Ping { seq: self.seq, digest: self.digest(), about_you: None };
+                let probe =
+                    Probe::Ping { seq: self.seq, digest: self.digest(), receiver_record: None };
                 vec![Outgoing { to: subject, probe }]
             }
             Probe::Records(members) => {
@@ -151,7 +154,7 @@
                 Vec::new()
             }
             Probe::Sample(members) => {
-                self.learn_compared(members, now);
+                self.learn_from_sync(members, now);
                 Vec::new()
             }
         }
@@ -162,15 +165,15 @@
         from: SocketAddrV4,
         seq: u32,
         digest: Digest,
-        about_you: Option<Member>,
+        receiver_record: Option<Member>,
         now: Timestamp,
-        draw: &mut Draw<'_>,
+        draw: &mut RandomIndex<'_>,
     ) -> Vec<Outgoing> {
         let mut out = Vec::new();
         let stranger = self.others.at(from).next().is_none();
         let newcomer = seq == ABOUT_SEQ && self.is_newcomer(digest.process, now);
-        if about_you.is_some() || stranger || newcomer {
-            if let Some(member) = about_you {
+        if receiver_record.is_some() || stranger || newcomer {
+            if let Some(member) = receiver_record {
                 self.learn(member, now);
             }
             let me = Member::clone(&self.me);
@@ -206,7 +209,7 @@
             .into_iter()
             .map(|m| {
                 let probe =
-                    Probe::Ping { seq: ABOUT_SEQ, digest: self.digest(), about_you: Some(m) };
+                    Probe::Ping { seq: ABOUT_SEQ, digest: self.digest(), receiver_record: Some(m) };
                 Outgoing { to: from, probe }
             })
             .collect();
--- a/crates/dillmill-core/src/membership/records.rs
+++ b/crates/dillmill-core/src/membership/records.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use super::{Draw, FANOUT, MemberChange, Membership, Outgoing, Probe, RECORDS_PER_DATAGRAM};
+use super::{FANOUT, MemberChange, Membership, Outgoing, Probe, RECORDS_PER_DATAGRAM, RandomIndex};
 use crate::{Member, MemberStatus, ProcessId, Timestamp};
 
 /// How many of them are in any data centre; the rest are in the own one, as bytes between data centres cost. Each
@@ -30,7 +30,7 @@
 
     /// Takes in records that a comparison has brought: they are held by others who compare too, and if all passed on
     /// all that they learn when everything starts, it would go to everybody many times over.
-    pub fn learn_compared(&mut self, members: impl IntoIterator<Item = Member>, now: Timestamp) {
+    pub fn learn_from_sync(&mut self, members: impl IntoIterator<Item = Member>, now: Timestamp) {
         for member in members {
             self.take_in(member, now);
         }
@@ -52,9 +52,9 @@
         // The word of the process itself comes with a higher version.
         let by_silence = held.is_some_and(|held| held.version == member.version);
         if by_silence && member.status == MemberStatus::Down {
-            self.doubts.note(member.process, now);
+            self.unconfirmed_downs.note(member.process, now);
         } else {
-            self.doubts.clear(member.process);
+            self.unconfirmed_downs.clear(member.process);
         }
         self.retire_predecessors(&member, now);
         self.store(member, before, now);
@@ -91,7 +91,7 @@
         for mut member in ended {
             let (process, before) = (member.process, Some(member.status));
             member.status = MemberStatus::Down;
-            self.doubts.clear(process);
+            self.unconfirmed_downs.clear(process);
             self.store(member, before, now);
             self.mark_fresh(process);
         }
@@ -132,7 +132,7 @@
         }
     }
 
-    pub(super) fn spread(&mut self, draw: &mut Draw<'_>, out: &mut Vec<Outgoing>) {
+    pub(super) fn spread(&mut self, draw: &mut RandomIndex<'_>, out: &mut Vec<Outgoing>) {
         while !self.fresh.is_empty() {
             let n = self.fresh.len().min(RECORDS_PER_DATAGRAM);
             let processes: Vec<ProcessId> = self.fresh.drain(..n).collect();
@@ -140,7 +140,7 @@
                 self.is_fresh.remove(process);
             }
             let records: Vec<Member> = processes.iter().filter_map(|p| self.record(*p)).collect();
-            for to in self.rumour_peers(draw) {
+            for to in self.gossip_peers(draw) {
                 out.push(Outgoing { to, probe: Probe::Records(records.clone()) });
             }
         }
@@ -154,7 +154,7 @@
     }
 
     /// Returns the peers to which news are passed.
-    pub fn rumour_peers(&self, draw: &mut Draw<'_>) -> Vec<SocketAddrV4> {
+    pub fn gossip_peers(&self, draw: &mut RandomIndex<'_>) -> Vec<SocketAddrV4> {
         let near = self.others.draw_near(FANOUT - FANOUT_ANYWHERE, draw);
         let near: Vec<_> = near.into_iter().map(|m| m.control).collect();
         let mut peers = self.random_peers(FANOUT, draw);
--- a/crates/dillmill-core/src/membership/drawn_set.rs
+++ b/crates/dillmill-core/src/membership/sampling_set.rs
@@ -3,22 +3,22 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-use super::Draw;
+use super::RandomIndex;
 
 /// A set whose members are added, removed and drawn in a few steps, however many there are.
 #[derive(Debug)]
-pub(super) struct DrawnSet<T> {
+pub(super) struct SamplingSet<T> {
     items: Vec<T>,
     places: HashMap<T, usize>,
 }
 
-impl<T> Default for DrawnSet<T> {
+impl<T> Default for SamplingSet<T> {
     fn default() -> Self {
         Self { items: Vec::new(), places: HashMap::new() }
     }
 }
 
-impl<T: Copy + Eq + Hash> DrawnSet<T> {
+impl<T: Copy + Eq + Hash> SamplingSet<T> {
     pub(super) fn len(&self) -> usize {
         self.items.len()
     }
@@ -42,7 +42,7 @@
     }
 
     /// Returns up to `n` different members.
-    pub(super) fn draw(&self, n: usize, draw: &mut Draw<'_>) -> Vec<T> {
+    pub(super) fn draw(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<T> {
         if n >= self.items.len() {
             return self.items.clone();
         }
@@ -57,7 +57,7 @@
     }
 
     /// Returns one member.
-    pub(super) fn draw_one(&self, draw: &mut Draw<'_>) -> Option<T> {
+    pub(super) fn draw_one(&self, draw: &mut RandomIndex<'_>) -> Option<T> {
         (!self.items.is_empty()).then(|| self.items[draw(self.items.len())])
     }
 
--- a/crates/dillmill-core/src/membership/doubts.rs
+++ b/crates/dillmill-core/src/membership/unconfirmed_downs.rs
@@ -11,11 +11,11 @@
 /// Guards the flows of a living process against a wrong word of its end: while that is in doubt, a search that does
 /// not reach the process proves nothing.
 #[derive(Debug, Default)]
-pub(super) struct Doubts {
+pub(super) struct UnconfirmedDowns {
     since: HashMap<ProcessId, Timestamp>,
 }
 
-impl Doubts {
+impl UnconfirmedDowns {
     pub(super) fn note(&mut self, process: ProcessId, now: Timestamp) {
         self.since.insert(process, now);
     }
--- a/crates/dillmill-core/src/owner_cache.rs
+++ b/crates/dillmill-core/src/owner_cache.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use crate::generations::Generations;
+use crate::generation_cache::GenerationCache;
 use crate::{FlowTuple, ProcessId, Timestamp};
 
 /// Maximum number of flows: at some 40 bytes each, 20 MB of the 128 MB for control.
@@ -40,12 +40,12 @@
 /// The flows that a balancer has seen recently, with their owners.
 #[derive(Debug)]
 pub struct OwnerCache {
-    entries: Generations<FlowTuple, CacheEntry>,
+    entries: GenerationCache<FlowTuple, CacheEntry>,
 }
 
 impl Default for OwnerCache {
     fn default() -> Self {
-        Self { entries: Generations::new(OWNER_LIFETIME, OWNER_CACHE_CAPACITY) }
+        Self { entries: GenerationCache::new(OWNER_LIFETIME, OWNER_CACHE_CAPACITY) }
     }
 }
 
--- a/crates/dillmill-core/src/pause_watch.rs
+++ b/crates/dillmill-core/src/pause_detector.rs
@@ -9,12 +9,12 @@
 /// A process that stood still finds that nobody has answered it for a while, and must blame nobody for
 /// that. It looks at every tick; a look that comes much too late means that it was paused.
 #[derive(Debug)]
-pub struct PauseWatch {
+pub struct PauseDetector {
     limit: Duration,
     last: Option<Timestamp>,
 }
 
-impl PauseWatch {
+impl PauseDetector {
     /// Creates a watch that takes a gap of more than `limit` for a pause.
     #[must_use]
     pub const fn new(limit: Duration) -> Self {
--- a/crates/dillmill-core/src/pending_searches.rs
+++ b/crates/dillmill-core/src/pending_searches.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::generations::Generations;
+use crate::generation_cache::GenerationCache;
 use crate::{FlowTuple, Timestamp};
 
 /// Maximum number of searches in one generation: 2.4 MB with one packet of full size each.
@@ -39,12 +39,12 @@
 /// The searches of a balancer that have found no owner yet.
 #[derive(Debug)]
 pub struct PendingSearches {
-    pending: Generations<FlowTuple, Pending>,
+    pending: GenerationCache<FlowTuple, Pending>,
 }
 
 impl Default for PendingSearches {
     fn default() -> Self {
-        Self { pending: Generations::new(LIFETIME, CAPACITY) }
+        Self { pending: GenerationCache::new(LIFETIME, CAPACITY) }
     }
 }
 
--- a/crates/dillmill-core/src/placement.rs
+++ b/crates/dillmill-core/src/placement.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::membership::Draw;
+use crate::membership::RandomIndex;
 use crate::{ProcessId, Slots, TargetPace, Timestamp};
 
 const REPORT_LIFETIME: Duration = Duration::from_millis(2500);
@@ -124,7 +124,7 @@
         policy: Policy,
         own: LoadReport,
         now: Timestamp,
-        draw: &mut Draw<'_>,
+        draw: &mut RandomIndex<'_>,
     ) -> Place {
         let closed = own.slots.0 == 0;
         let has_room = own.in_use + own.queued < own.slots.0;
@@ -171,7 +171,7 @@
     requests * 1000 / u32::from(report.slots.0.max(1))
 }
 
-fn draw_two(open: &[ProcessId], draw: &mut Draw<'_>) -> Vec<ProcessId> {
+fn draw_two(open: &[ProcessId], draw: &mut RandomIndex<'_>) -> Vec<ProcessId> {
     if open.len() <= 2 {
         return open.to_vec();
     }
--- a/crates/dillmill-core/src/store_duty.rs
+++ b/crates/dillmill-core/src/store_selection.rs
@@ -13,11 +13,11 @@
 
 /// Processes that keep an entry in the store, through which others join. Enough that some are left when
 /// a third of the fleet is turned away at once.
-pub const KEEPERS: usize = 6;
+pub const REGISTERED_PROCESSES: usize = 6;
 /// Keepers that watch the configuration besides.
 pub const WATCHERS: usize = 3;
 /// A process that the store has turned away may be asked to try again after this time.
-pub const TRY_AGAIN: Duration = Duration::from_secs(10);
+pub const RETRY_AFTER: Duration = Duration::from_secs(10);
 
 /// Returns whether `me` is among the `n` that talk to the store.
 ///
@@ -30,7 +30,7 @@
 /// assert!(store_duty::WATCHERS < store_duty::KEEPERS);
 /// ```
 #[must_use]
-pub fn on_duty<'a>(
+pub fn is_selected<'a>(
     me: ProcessId,
     members: impl Iterator<Item = &'a Member> + Clone,
     n: usize,
--- a/crates/dillmill-core/src/target_flows.rs
+++ b/crates/dillmill-core/src/target_flows.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::answer_norms::{AnswerKind, AnswerNorms};
-use crate::generations::Generations;
+use crate::generation_cache::GenerationCache;
 use crate::outcomes::Outcomes;
 use crate::segment::{Segment, SegmentKind};
 use crate::{FlowTuple, Timestamp};
@@ -99,7 +99,7 @@
 /// The flows of one target.
 #[derive(Debug)]
 pub struct TargetFlows {
-    flows: Generations<FlowTuple, TargetFlow>,
+    flows: GenerationCache<FlowTuple, TargetFlow>,
     /// Time that the target takes for a request that does not wait, smoothed.
     work: Duration,
     outcomes: Outcomes,
@@ -113,7 +113,7 @@
 impl Default for TargetFlows {
     fn default() -> Self {
         Self {
-            flows: Generations::new(FLOW_LIFETIME, CAPACITY),
+            flows: GenerationCache::new(FLOW_LIFETIME, CAPACITY),
             work: FIRST_WORK,
             outcomes: Outcomes::default(),
             norms: AnswerNorms::default(),
--- a/crates/dillmill-core/src/watch_duty.rs
+++ b/crates/dillmill-core/src/watcher_selection.rs
@@ -31,7 +31,7 @@
 /// assert_eq!(watching, 5);
 /// ```
 #[must_use]
-pub fn watches(
+pub fn is_watcher(
     me: ProcessId,
     others: impl Iterator<Item = ProcessId>,
     watchers: usize,
--- a/crates/dillmill-core/tests/claim_safety.rs
+++ b/crates/dillmill-core/tests/claim_safety.rs
@@ -144,13 +144,14 @@
     /// leave every key unknown.
     fn cover(&mut self) {
         let Some(process) = self.awake(ProcessId(0)) else { return };
-        if self.ring.members.len() < 2 || !self.ring.past.iter().any(|p| p.is_alone(process)) {
+        if self.ring.members.len() < 2 || !self.ring.past.iter().any(|p| p.is_sole_member(process))
+        {
             return;
         }
         let ring = self.ring.clone();
         self.agents.get_mut(&process).unwrap().ledger.adopt(ring, now());
         if self.pass_on(process, false) {
-            self.ring = self.ring.with_covered(process);
+            self.ring = self.ring.without_sole_rings(process);
         }
     }
 
@@ -550,5 +551,5 @@
     let mut ledger = ClaimLedger::new(member(4), WINDOW);
     ledger.adopt(seen, now());
     let next = meanwhile.changed(&[member(4)], &[], ledger.live_since(now()));
-    assert!(next.past.iter().any(|past| past.is_alone(ProcessId(1))), "{:?}", next.past);
+    assert!(next.past.iter().any(|past| past.is_sole_member(ProcessId(1))), "{:?}", next.past);
 }
--- a/crates/dillmill-core/tests/flow_placements.rs
+++ b/crates/dillmill-core/tests/flow_placements.rs
@@ -6,7 +6,7 @@
 use dillmill_core::owner_cache::MISSING_CONFIRM_DELAY;
 use dillmill_core::placement::LoadReport;
 use dillmill_core::{
-    AgentTable, FlowPlacement, FlowTuple, Member, MemberStatus, Owner, OwnerCache, PauseWatch,
+    AgentTable, FlowPlacement, FlowTuple, Member, MemberStatus, Owner, OwnerCache, PauseDetector,
     ProcessId, Role, ServiceTag, Timestamp, Weight,
 };
 
@@ -184,7 +184,7 @@
 fn own_pause_forgiven() {
     let agents = table(&["near", "far"]);
     let mut placement = placement(&agents);
-    let mut pauses = PauseWatch::new(Duration::from_millis(200));
+    let mut pauses = PauseDetector::new(Duration::from_millis(200));
     placed(&mut placement, &agents, 1, NOW);
     assert!(!pauses.was_paused(NOW));
     let awake = NOW + Duration::from_secs(2);
--- a/crates/dillmill-core/tests/membership_scale.rs
+++ b/crates/dillmill-core/tests/membership_scale.rs
@@ -117,7 +117,7 @@
     fn joined(n: u32) -> Self {
         let mut fleet = Self::new(n);
         for view in &mut fleet.views {
-            view.learn_compared((0..n).map(member), START);
+            view.learn_from_sync((0..n).map(member), START);
         }
         fleet.off.fill(false);
         // The last of what young processes do, so that all agree.
@@ -192,7 +192,7 @@
                 let answer = Message::Answer(self.views[at].differing(&buckets));
                 self.links[at].queue.push_back((from, answer));
             }
-            Message::Answer(members) => self.views[at].learn_compared(members, self.now),
+            Message::Answer(members) => self.views[at].learn_from_sync(members, self.now),
         }
     }
 
@@ -202,7 +202,7 @@
         let out = view.tick(self.now, &mut |n| rng.random_range(0..n));
         let out = out.into_iter().map(|o| (o.to, Message::Probe(o.probe)));
         self.links[i].queue.extend(out);
-        while let Some(peer) = view.take_wants_sync(&mut |n| rng.random_range(0..n)) {
+        while let Some(peer) = view.next_sync_peer(&mut |n| rng.random_range(0..n)) {
             let question =
                 Message::Question(view.buckets(rng.random()), Box::new(view.me().clone()));
             self.links[i].queue.push_back((peer, question));
--- a/crates/dillmill-core/tests/membership_views.rs
+++ b/crates/dillmill-core/tests/membership_views.rs
@@ -61,7 +61,7 @@
                 let rng = &mut self.rng;
                 let view = self.views.get_mut(&from).unwrap();
                 let out = view.tick(self.now, &mut |n| rng.random_range(0..n));
-                let sync = view.take_wants_sync(&mut |n| rng.random_range(0..n));
+                let sync = view.next_sync_peer(&mut |n| rng.random_range(0..n));
                 self.deliver(from, out);
                 if let Some(peer) = sync {
                     self.sync(from, peer);
@@ -90,7 +90,7 @@
         let buckets = self.views[&from].buckets(self.rng.random());
         self.views.get_mut(&peer).unwrap().learn(me, self.now);
         let members = self.views[&peer].differing(&buckets);
-        self.views.get_mut(&from).unwrap().learn_compared(members, self.now);
+        self.views.get_mut(&from).unwrap().learn_from_sync(members, self.now);
     }
 
     fn status(&self, seen_by: u8, of: u8) -> Option<MemberStatus> {
--- a/crates/dillmill-core/tests/store_duties.rs
+++ b/crates/dillmill-core/tests/store_duties.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use dillmill_core::store_duty::{KEEPERS, on_duty};
+use dillmill_core::store_selection::{REGISTERED_PROCESSES, is_selected};
 use dillmill_core::{Member, MemberStatus, ProcessId, Role, StoreReach, Weight};
 
 fn member(n: u8, role: Role) -> Member {
@@ -27,14 +27,14 @@
 }
 
 fn keepers(fleet: &[Member]) -> Vec<u64> {
-    let duty = |m: &&Member| on_duty(m.process, fleet.iter(), KEEPERS);
+    let duty = |m: &&Member| is_selected(m.process, fleet.iter(), REGISTERED_PROCESSES);
     fleet.iter().filter(duty).map(|m| m.process.0).collect()
 }
 
 #[test]
 fn number_does_not_grow_with_the_fleet() {
-    assert_eq!(keepers(&fleet(4, 11)).len(), KEEPERS);
-    assert_eq!(keepers(&fleet(60, 120)).len(), KEEPERS);
+    assert_eq!(keepers(&fleet(4, 11)).len(), REGISTERED_PROCESSES);
+    assert_eq!(keepers(&fleet(60, 120)).len(), REGISTERED_PROCESSES);
     assert_eq!(keepers(&fleet(1, 2)).len(), 3);
 }
 
@@ -54,8 +54,8 @@
     let j = fleet.iter().position(|m| m.process.0 == before[1]).unwrap();
     fleet[j].status = MemberStatus::Suspect;
     let after = keepers(&fleet);
-    assert_eq!(after.len(), KEEPERS);
-    assert_eq!(before[2..].iter().filter(|n| after.contains(n)).count(), KEEPERS - 2);
+    assert_eq!(after.len(), REGISTERED_PROCESSES);
+    assert_eq!(before[2..].iter().filter(|n| after.contains(n)).count(), REGISTERED_PROCESSES - 2);
     assert!(!after.contains(&before[0]) && !after.contains(&before[1]));
 }
 
--- a/crates/dillmill-flow/src/agent_task.rs
+++ b/crates/dillmill-flow/src/agent_task.rs
@@ -19,8 +19,8 @@
 use dillmill_core::flow_gate::{TargetPresence, TargetStanding};
 use dillmill_core::placement::LoadReport;
 use dillmill_core::{
-    AgentTable, CallerPackets, DirectoryCatchUp, FlowGate, MemberStatus, PauseWatch, Registrations,
-    RouteTable, ServiceName, ServiceTag, TargetRuns, Timestamp, ZoneName,
+    AgentTable, CallerPackets, DirectoryCatchUp, FlowGate, MemberStatus, PauseDetector,
+    Registrations, RouteTable, ServiceName, ServiceTag, TargetRuns, Timestamp, ZoneName,
 };
 use dillmill_node::{NodeError, NodeHandle, View, Views};
 use dillmill_platform::{EndpointCall, ProcessSettings};
@@ -117,7 +117,7 @@
     /// The announcement that the other processes have, and the one that they are to get next.
     announced: Announcement,
     announcement: Announcement,
-    pauses: PauseWatch,
+    pauses: PauseDetector,
     stopping: Option<(StopRequest, Timestamp)>,
 }
 
@@ -168,7 +168,7 @@
             health: TargetHealth::Sound,
             announced: announcement.clone(),
             announcement,
-            pauses: PauseWatch::new(TICK * 2),
+            pauses: PauseDetector::new(TICK * 2),
             stopping: None,
         })
     }
--- a/crates/dillmill-flow/src/balancer_task.rs
+++ b/crates/dillmill-flow/src/balancer_task.rs
@@ -11,7 +11,7 @@
 use dillmill_core::placement::LoadReport;
 use dillmill_core::{
     AgentTable, Departure, EarlyPacket, EarlyPackets, Envelope, EventKind, FlowPlacement,
-    FlowTuple, LinkAdmission, Owner, OwnerCache, PacketId, PacketPurpose, PauseWatch,
+    FlowTuple, LinkAdmission, Owner, OwnerCache, PacketId, PacketPurpose, PauseDetector,
     PendingSearches, RouteTable, SearchScope, Segment, SegmentKind, ServiceTag, Timestamp,
     ZoneName,
 };
@@ -77,7 +77,7 @@
     routes: Arc<RouteTable>,
     owners: OwnerCache,
     placement: FlowPlacement,
-    pauses: PauseWatch,
+    pauses: PauseDetector,
     started: Timestamp,
     searches: PendingSearches,
     settled: bool,
@@ -121,7 +121,7 @@
             routes: Arc::default(),
             owners: OwnerCache::default(),
             placement: FlowPlacement::default(),
-            pauses: PauseWatch::new(TICK * 2),
+            pauses: PauseDetector::new(TICK * 2),
             started: now,
             searches: PendingSearches::default(),
             settled: false,
--- a/crates/dillmill-flow/src/config.rs
+++ b/crates/dillmill-flow/src/config.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::net::SocketAddrV4;
 
-use dillmill_core::{Secret, store_duty};
+use dillmill_core::{Secret, store_selection};
 use dillmill_node::{LogLevel, ProcessConfig};
 use dillmill_platform::ProcessSettings;
 use sha2::{Digest, Sha256};
@@ -32,7 +32,7 @@
         platform: format!("http://{}", settings.store),
         cluster_key: Secret::from(key),
         peers: settings.peers.iter().map(|ip| SocketAddrV4::new(*ip, control_port)).collect(),
-        watchers: store_duty::WATCHERS,
+        watchers: store_selection::WATCHERS,
         log: LogLevel::Info,
         balancer: None,
         agent: None,
--- a/crates/dillmill-flow/src/operator_watch.rs
+++ b/crates/dillmill-flow/src/operator_watch.rs
@@ -10,7 +10,7 @@
 
 use dillmill_core::membership::{FleetSize, StoredSize};
 use dillmill_core::{
-    Evacuations, EventKind, Revision, StartPatience, StoreReach, Timestamp, store_duty,
+    Evacuations, EventKind, Revision, StartPatience, StoreReach, Timestamp, store_selection,
 };
 use dillmill_node::{Node, NodeHandle, View, Views};
 use dillmill_platform::store_protocol::Changes;
@@ -112,7 +112,7 @@
         self.wait_for_peers().await;
         loop {
             self.view = self.views.newer().or(self.view.take());
-            if self.on_duty() {
+            if self.is_selected() {
                 self.freshness = Freshness::Newest;
             } else if self.has_peer_data() {
                 self.after = None;
@@ -182,11 +182,11 @@
 
     /// Returns whether this process is to watch the store: it is among the first keepers, and the store
     /// answers it.
-    fn on_duty(&self) -> bool {
+    fn is_selected(&self) -> bool {
         let Some(view) = &self.view else { return false };
         let members = view.members();
         view.me.store == StoreReach::Answers
-            && store_duty::on_duty(view.me.process, members, store_duty::WATCHERS)
+            && store_selection::is_selected(view.me.process, members, store_selection::WATCHERS)
     }
 
     async fn poll_store(&mut self) -> StoreResult<()> {
--- a/crates/dillmill-flow/src/session.rs
+++ b/crates/dillmill-flow/src/session.rs
@@ -1,7 +1,7 @@
 //! Keeps the process's entry in the store, and finds the other processes.
 //!
 //! Processes find each other through the addresses in their settings and through the entries of a few
-//! keepers ([`store_duty`]), and then communicate directly. An entry only states the address of a process
+//! keepers ([`store_selection`]), and then communicate directly. An entry only states the address of a process
 //! at the time of writing. Liveness is determined by probes, so an entry that expires or is removed while
 //! its process lives changes nothing.
 
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use dillmill_core::membership::{FleetSize, StoredSize};
-use dillmill_core::{EventKind, StartPatience, StoreReach, Timestamp, store_duty};
+use dillmill_core::{EventKind, StartPatience, StoreReach, Timestamp, store_selection};
 use dillmill_node::{Node, NodeHandle, View, Views};
 use dillmill_platform::{CommitOutcome, Freshness, LeaseId, ProcessSettings, Store};
 use error_stack::Report;
@@ -120,7 +120,11 @@
             return now.since(self.started) >= self.seed_wait(view);
         }
         now.since(self.started) >= KEEPER_MIN_AGE
-            && store_duty::on_duty(view.me.process, view.members(), store_duty::KEEPERS)
+            && store_selection::is_selected(
+                view.me.process,
+                view.members(),
+                store_selection::REGISTERED_PROCESSES,
+            )
     }
 
     /// Returns how long this process tries the seed addresses in its settings.
@@ -147,7 +151,7 @@
     }
 
     /// Gives up the entry. An announcement that the store answers is withdrawn immediately, an announcement
-    /// that it has failed only after `store_duty::TRY_AGAIN`.
+    /// that it has failed only after `store_selection::RETRY_AFTER`.
     async fn release_entry(&mut self, now: Timestamp) -> Duration {
         if let Some(lease) = self.lease.take()
             && let Err(report) = self.store.end(lease).await
@@ -157,7 +161,7 @@
             self.handle.journal.record(EventKind::Platform, "lease of the entry not ended", cause);
         }
         let (announced, at) = self.announced;
-        let stale = announced == StoreReach::Fails && now.since(at) >= store_duty::TRY_AGAIN;
+        let stale = announced == StoreReach::Fails && now.since(at) >= store_selection::RETRY_AFTER;
         if announced == StoreReach::Answers || stale {
             self.announce_reach(StoreReach::Unknown);
         }
@@ -210,7 +214,7 @@
             Ordering::Equal => false,
             Ordering::Greater => view.stored_size.version > 0 || stable,
         };
-        let first = store_duty::on_duty(view.me.process, view.members(), 1);
+        let first = store_selection::is_selected(view.me.process, view.members(), 1);
         if !due || !first || !view.settled {
             return Ok(());
         }
--- a/crates/dillmill-node/src/config.rs
+++ b/crates/dillmill-node/src/config.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
 
-use dillmill_core::{Secret, ServiceName, VmName, ZoneName, watch_duty};
+use dillmill_core::{Secret, ServiceName, VmName, ZoneName, watcher_selection};
 use dillmill_settings::yaml;
 use dillmill_wire::ClusterKey;
 use error_stack::Report;
@@ -64,7 +64,7 @@
 }
 
 fn default_watchers() -> usize {
-    watch_duty::WATCHERS
+    watcher_selection::WATCHERS
 }
 
 /// What only a balancer needs.
--- a/crates/dillmill-node/src/control.rs
+++ b/crates/dillmill-node/src/control.rs
@@ -179,14 +179,14 @@
             Input::StoredSize(stored) => self.membership.set_stored_size(stored),
             Input::Seeds(seeds) => {
                 self.membership.add_seeds(seeds);
-                let joins = self.membership.take_joins();
+                let joins = self.membership.take_join_messages();
                 self.send_all(joins).await;
             }
             Input::SyncFailed => {
                 self.routes_asked = None;
-                self.membership.compare_again(now);
+                self.membership.retry_sync(now);
             }
-            Input::Members(members) => self.membership.learn_compared(members, now),
+            Input::Members(members) => self.membership.learn_from_sync(members, now),
             Input::Event { now, kind, what, cause } => self.events.push(now, kind, what, cause),
             Input::Platform { reachable, cause } => self.platform(reachable, cause),
             Input::Leave => self.set_status(MemberStatus::Leaving, now).await,
--- a/crates/dillmill-node/src/control/comparing.rs
+++ b/crates/dillmill-node/src/control/comparing.rs
@@ -19,7 +19,7 @@
 
 impl Control {
     pub(super) fn sync_if_wanted(&mut self) {
-        while let Some(peer) = with_draw(|draw| self.membership.take_wants_sync(draw)) {
+        while let Some(peer) = with_draw(|draw| self.membership.next_sync_peer(draw)) {
             self.sync_with(peer);
         }
     }
--- a/crates/dillmill-node/src/control/evacuations.rs
+++ b/crates/dillmill-node/src/control/evacuations.rs
@@ -40,7 +40,7 @@
         let count = i64::try_from(names.len()).unwrap_or(i64::MAX);
         self.handle.metrics.evacuated.set(count);
         let message = Message::Evacuations(Evacuations::clone(&newer));
-        for to in with_draw(|draw| self.membership.rumour_peers(draw)) {
+        for to in with_draw(|draw| self.membership.gossip_peers(draw)) {
             self.send(to, &message).await;
         }
     }
--- a/crates/dillmill-node/src/handle.rs
+++ b/crates/dillmill-node/src/handle.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dillmill_core::claims::RingMember;
-use dillmill_core::membership::{Draw, StoredSize};
+use dillmill_core::membership::{RandomIndex, StoredSize};
 use dillmill_core::placement::LoadReport;
 use dillmill_core::{
     EvacuationChange, Evacuations, EventKind, Member, ProcessId, ServiceName, Timestamp, VmName,
@@ -247,6 +247,6 @@
 }
 
 /// Calls `f` with a source of random indices.
-pub fn with_draw<T>(f: impl FnOnce(&mut Draw<'_>) -> T) -> T {
+pub fn with_draw<T>(f: impl FnOnce(&mut RandomIndex<'_>) -> T) -> T {
     f(&mut draw_below)
 }
--- a/crates/dillmill-node/src/store_task.rs
+++ b/crates/dillmill-node/src/store_task.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dillmill_core::{MemberStatus, Revision, watch_duty};
+use dillmill_core::{MemberStatus, Revision, watcher_selection};
 use dillmill_settings::Tree;
 use dillmill_store::SettingsStore;
 
@@ -79,7 +79,7 @@
 fn on_duty(view: &Arc<View>, handle: &NodeHandle, watchers: usize) -> bool {
     let alive = view.members().filter(|m| m.status != MemberStatus::Down);
     let others = alive.map(|m| m.process);
-    watch_duty::watches(view.me.process, others, watchers, handle.clock.now())
+    watcher_selection::is_watcher(view.me.process, others, watchers, handle.clock.now())
 }
 
 /// Passes on what follows revision `have`, if there is something; returns the revision that this leads to.
--- a/crates/dillmill-standins/src/slopes.rs
+++ b/crates/dillmill-standins/src/slopes.rs
@@ -133,7 +133,7 @@
     let ping = dillmill_core::membership::Probe::Ping {
         seq: 1_000_000,
         digest: view.digest(),
-        about_you: None,
+        receiver_record: None,
     };
     let buckets = each(50, |_| {
         black_box(view.buckets(7));
--- a/crates/dillmill-wire/src/message.rs
+++ b/crates/dillmill-wire/src/message.rs
@@ -1,7 +1,7 @@
 //! Control messages that are sent as datagrams.
 
 use dillmill_core::claims::{
-    ClaimAnswer, ClaimKey, Epoch, HandedRecord, Inquiry, Ring, RingMember,
+    ClaimAnswer, ClaimKey, Epoch, HandoverRecord, Inquiry, Ring, RingMember,
 };
 use dillmill_core::membership::Probe;
 use dillmill_core::placement::LoadReport;
@@ -89,7 +89,7 @@
     /// Sends the sender's ring, which may be newer than the receiver's, and requests the receiver's ring.
     Ring(Ring),
     /// Transfers records of another agent, each with its cached response if that is short enough.
-    HandOver(Vec<(HandedRecord, Option<CachedResponse>)>),
+    HandOver(Vec<(HandoverRecord, Option<CachedResponse>)>),
 }
 
 /// A response that is stored to be replayed to retried requests.
