--- a/crates/dillmill-core/src/claims/answer.rs
+++ b/crates/dillmill-core/src/claims/answer.rs
@@ -1,100 +1,104 @@
-//! What agents ask and tell each other about a key.
+//! Messages and results that agents exchange about the claim of a key.
 
 use serde::{Deserialize, Serialize};
 
 use super::ring::{ClaimKey, Epoch, Ring, RingMember};
 
-/// How far this agent has got with a request that it dispatches.
+/// Progress of a request that this agent dispatches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Handed to the target, no whole answer yet.
+    /// Handed to the target, which has not answered completely yet.
     InFlight,
-    /// The whole answer came.
+    /// The complete answer arrived.
     Done,
-    /// The target's answer did not come, or only in part: nobody knows whether it ran.
+    /// The target's answer was lost or incomplete, so nobody knows whether the request ran.
     Unknown,
 }
 
-/// Answer of an authority.
+/// An authority's answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
     /// The asking agent may dispatch in this epoch.
     Granted,
     /// The named agent holds the key.
     Held(RingMember),
-    /// The authority is in another epoch; its ring is given.
+    /// The authority is in another epoch, whose ring is given.
     OtherEpoch(Ring),
-    /// Too many agents are lost to tell whether the key was dispatched.
+    /// It is not known whether the key was dispatched, as too many agents are lost or the outcome of a
+    /// dispatch has not reached this one.
     Unknown,
-    /// The answering agent is not the authority, or the asking one not in the ring.
+    /// The answering agent is not the authority, or the asking agent is not in the ring.
     NotAuthority,
 }
 
-/// What an authority has to do before it can answer.
+/// An authority's answer to a claim, or what it needs before it can answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claim {
     /// The answer is known.
     Answer(ClaimAnswer),
-    /// Ask these first, then call [`ClaimLedger::consulted`](super::ClaimLedger::consulted).
+    /// These agents must be asked first; [`ClaimLedger::consulted`](super::ClaimLedger::consulted) takes
+    /// their answers.
     Consult(Vec<RingMember>),
 }
 
-/// Answer of an agent that an authority asks about a key.
+/// An agent's answer to an authority that asks about a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Inquiry {
-    /// Not dispatched here and, in an earlier epoch than the given one, never to be.
+    /// This agent has not dispatched the key, and never will under a grant of an epoch before the given
+    /// one.
     Free,
-    /// The named agent holds the key, to this agent's knowledge.
+    /// As far as this agent knows, the named agent holds the key.
     Held(RingMember),
-    /// This agent has dispatched it.
+    /// This agent has dispatched the key.
     Dispatched(Phase),
-    /// The named agent, or one that it stands for, has dispatched it for certain.
+    /// The named agent, or one whose records it took over, has certainly dispatched the key.
     DispatchedBy(RingMember),
-    /// This agent is in an older epoch and needs the ring first.
+    /// This agent is in an older epoch and needs the ring before it can answer.
     OldEpoch,
-    /// This agent is in a newer epoch; its ring is given.
+    /// This agent is in a newer epoch, whose ring is given.
     NewerEpoch(Ring),
 }
 
-/// What came of one inquiry.
+/// The result of one inquiry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The agent asked.
+    /// The agent that was asked.
     pub asked: RingMember,
-    /// Its answer, or `None` if it could not be reached.
+    /// Its answer, or `None` if it gave none, for example because it was unreachable.
     pub answer: Option<Inquiry>,
 }
 
-/// Why a dispatch may not begin.
+/// Reason for which a dispatch may not begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BeginError {
-    /// The grant is of an older epoch than the one adopted.
-    #[error("the grant is of an earlier epoch")]
+    /// The grant is not from the epoch in force.
+    #[error("the grant is from an earlier epoch")]
     StaleGrant,
-    /// The key was dispatched here before.
-    #[error("the key was dispatched before")]
+    /// This agent has already dispatched the key.
+    #[error("the key was already dispatched")]
     Dispatched,
 }
 
-/// A record that a leaving agent passes on.
+/// A record that one agent passes to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverRecord {
     /// The key.
     pub key: ClaimKey,
-    /// The agent that held it.
+    /// The agent that holds the key, as far as the sender knows.
     pub holder: RingMember,
-    /// What is passed on.
+    /// The state of the claim.
     pub state: HandoverState,
 }
 
-/// What a leaving agent knows of a key.
+/// State of a claim in a [`HandoverRecord`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandoverState {
-    /// The holder was granted it in this epoch.
+    /// The key was granted to the holder in this epoch.
     Granted(Epoch),
-    /// The holder, another agent or the one that passes this on and stays, has dispatched it.
+    /// The holder has dispatched the key. The holder is either the sender, which stays in the ring, or
+    /// another agent.
     Dispatched,
-    /// The agent that passes this on and leaves has dispatched it; whoever takes it over answers
-    /// for it from now on.
+    /// The sender has dispatched the key and leaves the ring. The receiver answers for the dispatch from
+    /// now on.
     DispatchedByLeaver(Phase),
 }
--- a/crates/dillmill-core/src/claims/ledger.rs
+++ b/crates/dillmill-core/src/claims/ledger.rs
@@ -1,4 +1,4 @@
-//! The records of one agent, and what it decides from them.
+//! The claim records of one agent, and the decisions made from them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -11,14 +11,14 @@
 mod handing_over;
 mod record;
 
-use record::{Record, Standing};
+use record::{Record, RecordState};
 
-/// The records of one agent.
+/// The claim records of one agent.
 #[derive(Debug)]
 pub struct ClaimLedger {
     me: RingMember,
     ring: Ring,
-    adopted: BTreeMap<Epoch, Timestamp>,
+    adopted_at: BTreeMap<Epoch, Timestamp>,
     records: HashMap<ClaimKey, Record>,
     window: Duration,
 }
@@ -30,48 +30,49 @@
         Self {
             me,
             ring: Ring::default(),
-            adopted: BTreeMap::new(),
+            adopted_at: BTreeMap::new(),
             records: HashMap::new(),
             window,
         }
     }
 
-    /// Returns the ring in force here.
+    /// Returns the ring that this agent has adopted.
     #[must_use]
     pub fn ring(&self) -> &Ring {
         &self.ring
     }
 
-    /// Returns the number of records held.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no record is held.
+    /// Returns whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Changes how long records are kept.
+    /// Sets how long records are kept.
     pub fn set_window(&mut self, window: Duration) {
         self.window = window;
     }
 
-    /// Takes a ring into force if it is newer; returns whether it was.
+    /// Adopts a ring if it is newer than the current one; returns whether it was.
     pub fn adopt(&mut self, ring: Ring, now: Timestamp) -> bool {
         if ring.epoch <= self.ring.epoch {
             return false;
         }
-        self.adopted.insert(ring.epoch, now);
+        self.adopted_at.insert(ring.epoch, now);
         self.ring = ring;
         true
     }
 
-    /// Returns the epoch from which on rings may still have live records, by this agent's own time.
+    /// Returns the epoch of the oldest ring that may still have live records, by this agent's own clock.
     ///
-    /// A ring that was replaced before this agent looked counts from when it looked.
+    /// A ring counts as replaced at the time when this agent first adopted a newer one, even if it was
+    /// replaced earlier.
     #[must_use]
     pub fn live_since(&self, now: Timestamp) -> Epoch {
         let live = self.ring.past.iter().take_while(|past| self.is_live(past, now));
@@ -79,32 +80,32 @@
     }
 
     fn is_live(&self, past: &PastRing, now: Timestamp) -> bool {
-        let replaced = self.adopted.range(Epoch(past.epoch.0 + 1)..).next();
+        let replaced = self.adopted_at.range(Epoch(past.epoch.0 + 1)..).next();
         replaced.is_none_or(|(_, at)| now.since(*at) < self.window)
     }
 
-    /// Returns the authority of `key`, or `None` in an empty ring.
+    /// Returns the authority for `key`, or `None` if the ring is empty.
     #[must_use]
     pub fn authority(&self, key: ClaimKey) -> Option<RingMember> {
         ranked(&self.ring.members, key).first().copied()
     }
 
-    /// Returns the agent that keeps a copy for an authority that dispatches itself.
+    /// Returns the agent that keeps a copy of the claim when this agent is both authority and dispatcher.
     #[must_use]
     pub fn copy_keeper(&self, key: ClaimKey) -> Option<RingMember> {
         ranked(&self.ring.members, key).into_iter().find(|m| m.process != self.me.process)
     }
 
-    /// Returns how far this agent has got with `key`, if it has dispatched it.
+    /// Returns the progress of `key`, if this agent has dispatched it.
     #[must_use]
     pub fn phase(&self, key: ClaimKey) -> Option<Phase> {
         match self.records.get(&key)?.state {
-            Standing::Dispatched(phase) => Some(phase),
-            Standing::Granted(_) | Standing::DispatchedElsewhere => None,
+            RecordState::Dispatched(phase) => Some(phase),
+            RecordState::Granted(_) | RecordState::DispatchedElsewhere => None,
         }
     }
 
-    /// Answers an agent that wants to dispatch `key`.
+    /// Decides, as the authority, whether `by` may dispatch `key`.
     pub fn claim(&mut self, key: ClaimKey, epoch: Epoch, by: RingMember, now: Timestamp) -> Claim {
         if epoch != self.ring.epoch {
             return Claim::Answer(ClaimAnswer::OtherEpoch(self.ring.clone()));
@@ -113,13 +114,14 @@
         if !is_authority || !self.ring.contains(by.process) {
             return Claim::Answer(ClaimAnswer::NotAuthority);
         }
-        if let Some(record) = self.settled(key) {
-            // A holder that is gone is not asked here: the asking agent tries to reach it and
-            // answers "unknown" when it can't.
+        if let Some(record) = self.conclusive_record(key) {
+            // The authority does not check whether the holder is alive. The asking agent tries to reach
+            // the holder and answers "unknown" if that fails.
             let answer = match (record.holder.process == by.process, record.state) {
                 (false, _) => ClaimAnswer::Held(record.holder),
-                (true, Standing::Granted(_)) => ClaimAnswer::Granted,
-                // It was to answer for a dispatch of another, and has not heard of it.
+                (true, RecordState::Granted(_)) => ClaimAnswer::Granted,
+                // The asking agent was to answer for a dispatch that it took over from another, but has no
+                // record of it.
                 (true, _) => ClaimAnswer::Unknown,
             };
             return Claim::Answer(answer);
@@ -132,24 +134,27 @@
         Claim::Consult(consult.into_iter().collect())
     }
 
-    /// Returns the record of `key` if it answers a claim without asking anyone.
-    fn settled(&self, key: ClaimKey) -> Option<Record> {
+    /// Returns the record of `key` if it decides a claim without consulting other agents.
+    fn conclusive_record(&self, key: ClaimKey) -> Option<Record> {
         let record = self.records.get(&key)?;
         match record.state {
-            Standing::Granted(epoch) if epoch < self.ring.epoch => None,
+            RecordState::Granted(epoch) if epoch < self.ring.epoch => None,
             _ => Some(*record),
         }
     }
 
-    /// Returns the other agent that a grant of an earlier epoch names.
+    /// Returns the holder of the key in this agent's record, such as a grant of an earlier epoch, unless
+    /// it is this agent.
     fn hinted_holder(&self, key: ClaimKey) -> Option<RingMember> {
         let holder = self.records.get(&key)?.holder;
         (holder.process != self.me.process).then_some(holder)
     }
 
     fn grant(&mut self, key: ClaimKey, by: RingMember, now: Timestamp) -> ClaimAnswer {
-        self.records
-            .insert(key, Record { holder: by, state: Standing::Granted(self.ring.epoch), at: now });
+        self.records.insert(
+            key,
+            Record { holder: by, state: RecordState::Granted(self.ring.epoch), at: now },
+        );
         ClaimAnswer::Granted
     }
 
@@ -164,14 +169,16 @@
         }
         let Some(record) = self.records.get(&key) else { return Inquiry::Free };
         match record.state {
-            Standing::Dispatched(phase) => Inquiry::Dispatched(phase),
-            Standing::DispatchedElsewhere => Inquiry::DispatchedBy(record.holder),
-            Standing::Granted(_) if record.holder.process == self.me.process => Inquiry::Free,
-            Standing::Granted(_) => Inquiry::Held(record.holder),
+            RecordState::Dispatched(phase) => Inquiry::Dispatched(phase),
+            RecordState::DispatchedElsewhere => Inquiry::DispatchedBy(record.holder),
+            RecordState::Granted(_) if record.holder.process == self.me.process => Inquiry::Free,
+            RecordState::Granted(_) => Inquiry::Held(record.holder),
         }
     }
 
-    /// Keeps a copy for an authority that dispatches itself; returns whether the epoch is the same.
+    /// Keeps a copy of a claim for an authority that dispatches the request itself.
+    ///
+    /// Returns false, without keeping a copy, if `epoch` is not the current one.
     pub fn keep_copy(
         &mut self,
         key: ClaimKey,
@@ -182,18 +189,18 @@
         if epoch != self.ring.epoch {
             return false;
         }
-        let copy = Record { holder, state: Standing::Granted(epoch), at: now };
+        let copy = Record { holder, state: RecordState::Granted(epoch), at: now };
         if self.phase(key).is_none() {
             self.records.insert(key, copy);
         }
         true
     }
 
-    /// Records that this agent hands `key` to its target now.
+    /// Records that this agent now hands the request of `key` to its target.
     ///
     /// # Errors
     ///
-    /// Refuses a grant of an earlier epoch and a key that was dispatched before.
+    /// Fails if the grant is from an earlier epoch or this agent has already dispatched the key.
     pub fn begin(&mut self, key: ClaimKey, grant: Epoch, now: Timestamp) -> Result<(), BeginError> {
         if grant != self.ring.epoch {
             return Err(BeginError::StaleGrant);
@@ -201,40 +208,41 @@
         if self.phase(key).is_some() {
             return Err(BeginError::Dispatched);
         }
-        let state = Standing::Dispatched(Phase::InFlight);
+        let state = RecordState::Dispatched(Phase::InFlight);
         let record = Record { holder: self.me, state, at: now };
         self.records.insert(key, record);
         Ok(())
     }
 
-    /// Records how a dispatch ended.
+    /// Records the outcome of a dispatch.
     pub fn end(&mut self, key: ClaimKey, phase: Phase, now: Timestamp) {
-        let state = Standing::Dispatched(phase);
+        let state = RecordState::Dispatched(phase);
         let record = Record { holder: self.me, state, at: now };
         self.records.insert(key, record);
     }
 
-    /// Takes back a dispatch that the target refused before it ran anything.
+    /// Removes the record of a dispatch that the target refused before it ran anything.
     pub fn not_run(&mut self, key: ClaimKey) {
         self.records.remove(&key);
     }
 
-    /// Frees a key that `by` was granted and never dispatched.
+    /// Releases a key that was granted to `by` and that `by` has not dispatched.
     pub fn release(&mut self, key: ClaimKey, by: ProcessId) {
-        let unused = |r: &Record| r.holder.process == by && matches!(r.state, Standing::Granted(_));
+        let unused =
+            |r: &Record| r.holder.process == by && matches!(r.state, RecordState::Granted(_));
         if self.records.get(&key).is_some_and(unused) {
             self.records.remove(&key);
         }
     }
 
-    /// Drops records older than the window and returns the dropped keys.
+    /// Removes records older than the window, except those in flight, and returns their keys.
     pub fn expire(&mut self, now: Timestamp) -> Vec<ClaimKey> {
         let window = self.window;
         let old: Vec<ClaimKey> = self
             .records
             .iter()
             .filter(|(_, r)| {
-                now.since(r.at) >= window && r.state != Standing::Dispatched(Phase::InFlight)
+                now.since(r.at) >= window && r.state != RecordState::Dispatched(Phase::InFlight)
             })
             .map(|(key, _)| *key)
             .collect();
--- a/crates/dillmill-core/src/claims/ledger/consulting.rs
+++ b/crates/dillmill-core/src/claims/ledger/consulting.rs
@@ -1,13 +1,14 @@
-//! Which other agents are asked before a first grant, and what follows from their answers.
+//! Selects the agents to consult before the first grant of a key, and decides from their answers.
 
 use std::collections::BTreeSet;
 
-use super::{ClaimLedger, Record, Standing};
+use super::{ClaimLedger, Record, RecordState};
 use crate::claims::answer::{Claim, ClaimAnswer, Finding, Inquiry};
 use crate::claims::ring::{ClaimKey, Epoch, RingMember, ranked};
 use crate::{ProcessId, Timestamp};
 
 impl ClaimLedger {
+    /// Returns the other agents that were authorities for `key` in past rings with live records.
     pub(super) fn earlier_authorities(
         &self,
         key: ClaimKey,
@@ -15,8 +16,8 @@
     ) -> BTreeSet<RingMember> {
         let mut asked = BTreeSet::new();
         for past in self.ring.past.iter().take_while(|past| self.is_live(past, now)) {
-            // One that passed its records on needs no asking: they are with the authority of the
-            // ring that it left to, which is asked or is this agent.
+            // An agent that handed over its records need not be asked. The authority in the ring that
+            // followed its departure has them, and is either asked too or is this agent.
             asked.extend(ranked(&past.members, key).first().copied());
         }
         asked
@@ -25,9 +26,9 @@
             .collect()
     }
 
-    /// Decides after the agents that [`Claim::Consult`] named were asked.
+    /// Decides a claim once the agents named in [`Claim::Consult`] were asked.
     ///
-    /// Called a second time with more findings when it returns [`Claim::Consult`] again.
+    /// If this returns [`Claim::Consult`] again, it must be called again with the additional findings.
     pub fn consulted(
         &mut self,
         key: ClaimKey,
@@ -39,16 +40,16 @@
         if epoch != self.ring.epoch {
             return Claim::Answer(ClaimAnswer::OtherEpoch(self.ring.clone()));
         }
-        if self.settled(key).is_some() {
+        if self.conclusive_record(key).is_some() {
             return self.claim(key, epoch, by, now);
         }
-        if let Some(holder) = dispatcher(findings) {
-            let state = Standing::DispatchedElsewhere;
+        if let Some(holder) = confirmed_dispatcher(findings) {
+            let state = RecordState::DispatchedElsewhere;
             self.records.insert(key, Record { holder, state, at: now });
             return self.claim(key, epoch, by, now);
         }
-        if self.named_holder_is_lost(key, findings) {
-            // Not put on record: the holder may come back, and it need not be the one that
+        if self.named_holder_unreachable(key, findings) {
+            // This answer is not recorded: the holder may come back, and it may not be the agent that
             // dispatched the key.
             return Claim::Answer(ClaimAnswer::Unknown);
         }
@@ -56,26 +57,26 @@
         if !holders.is_empty() {
             return Claim::Consult(holders);
         }
-        let lost: BTreeSet<ProcessId> =
+        let unreachable_agents: BTreeSet<ProcessId> =
             findings.iter().filter(|f| f.answer.is_none()).map(|f| f.asked.process).collect();
-        if lost.is_empty() {
+        if unreachable_agents.is_empty() {
             return Claim::Answer(self.grant(key, by, now));
         }
-        if lost.len() > 1 || self.was_alone(&lost, now) {
+        if unreachable_agents.len() > 1 || self.lost_sole_member(&unreachable_agents, now) {
             return Claim::Answer(ClaimAnswer::Unknown);
         }
-        let rest = self.not_yet_asked(findings, now);
+        let rest = self.remaining_members(findings, now);
         if rest.is_empty() {
             return Claim::Answer(self.grant(key, by, now));
         }
         Claim::Consult(rest)
     }
 
-    fn named_holder_is_lost(&self, key: ClaimKey, findings: &[Finding]) -> bool {
-        let is_lost = |holder: &RingMember| {
+    fn named_holder_unreachable(&self, key: ClaimKey, findings: &[Finding]) -> bool {
+        let unreachable = |holder: &RingMember| {
             findings.iter().any(|f| f.asked.process == holder.process && f.answer.is_none())
         };
-        self.named_holders(key, findings).iter().any(is_lost)
+        self.named_holders(key, findings).iter().any(unreachable)
     }
 
     fn named_holders(&self, key: ClaimKey, findings: &[Finding]) -> BTreeSet<RingMember> {
@@ -97,16 +98,15 @@
         named.into_iter().filter(|holder| !asked.contains(&holder.process)).collect()
     }
 
-    /// An agent that was alone in its ring had nobody to keep copies.
-    fn was_alone(&self, lost: &BTreeSet<ProcessId>, now: Timestamp) -> bool {
-        self.ring
-            .past
-            .iter()
-            .take_while(|past| self.is_live(past, now))
-            .any(|past| past.members.len() == 1 && lost.contains(&past.members[0].process))
+    /// Returns whether an unreachable agent was the only member of a past ring, so that no other agent
+    /// could keep copies.
+    fn lost_sole_member(&self, unreachable_agents: &BTreeSet<ProcessId>, now: Timestamp) -> bool {
+        self.ring.past.iter().take_while(|past| self.is_live(past, now)).any(|past| {
+            past.members.len() == 1 && unreachable_agents.contains(&past.members[0].process)
+        })
     }
 
-    fn not_yet_asked(&self, findings: &[Finding], now: Timestamp) -> Vec<RingMember> {
+    fn remaining_members(&self, findings: &[Finding], now: Timestamp) -> Vec<RingMember> {
         let asked: BTreeSet<ProcessId> = findings.iter().map(|f| f.asked.process).collect();
         let past = self.ring.past.iter().take_while(|past| self.is_live(past, now));
         let rest: BTreeSet<RingMember> = past
@@ -121,8 +121,8 @@
     }
 }
 
-/// Returns the agent that has dispatched the key for certain.
-fn dispatcher(findings: &[Finding]) -> Option<RingMember> {
+/// Returns the agent that has certainly dispatched the key, or that answers for its dispatch.
+fn confirmed_dispatcher(findings: &[Finding]) -> Option<RingMember> {
     findings.iter().find_map(|f| match f.answer {
         Some(Inquiry::Dispatched(_)) => Some(f.asked),
         Some(Inquiry::DispatchedBy(holder)) => Some(holder),
--- a/crates/dillmill-core/src/claims/ledger/handing_over.rs
+++ b/crates/dillmill-core/src/claims/ledger/handing_over.rs
@@ -1,62 +1,66 @@
-//! Records passed from one agent to others.
+//! Hands records over from one agent to others.
 
 use std::collections::BTreeMap;
 
-use super::{ClaimLedger, Record, Standing};
+use super::{ClaimLedger, Record, RecordState};
 use crate::Timestamp;
 use crate::claims::answer::{HandoverRecord, HandoverState, Phase};
 use crate::claims::ring::{RingMember, ranked};
 
 impl ClaimLedger {
-    /// Returns what this agent passes on, by the agent that takes it.
+    /// Returns the records that this agent hands over, grouped by receiver.
     ///
-    /// Each record goes to two others, its authority first, as it must outlive the loss of one.
-    /// Call it after the ring was adopted whose authorities are to have the records: one without
-    /// this agent if it is `leaving`.
+    /// Each record goes to two other agents, first to its authority, so that it survives the loss of one
+    /// of them. Must be called after this agent has adopted the ring whose authorities are to get the
+    /// records. If this agent is `leaving`, that is a ring without it.
     #[must_use]
     pub fn hand_over(&self, leaving: bool) -> BTreeMap<RingMember, Vec<HandoverRecord>> {
-        let mut parts: BTreeMap<RingMember, Vec<HandoverRecord>> = BTreeMap::new();
+        let mut batches: BTreeMap<RingMember, Vec<HandoverRecord>> = BTreeMap::new();
         for (key, record) in &self.records {
             let state = match record.state {
-                Standing::Granted(epoch) => HandoverState::Granted(epoch),
-                // What is still in flight when the agent leaves will never be known.
-                Standing::Dispatched(Phase::InFlight) if leaving => {
+                RecordState::Granted(epoch) => HandoverState::Granted(epoch),
+                // The outcome of a request still in flight when the agent leaves will never be known.
+                RecordState::Dispatched(Phase::InFlight) if leaving => {
                     HandoverState::DispatchedByLeaver(Phase::Unknown)
                 }
-                Standing::Dispatched(phase) if leaving => HandoverState::DispatchedByLeaver(phase),
-                Standing::Dispatched(_) | Standing::DispatchedElsewhere => {
+                RecordState::Dispatched(phase) if leaving => {
+                    HandoverState::DispatchedByLeaver(phase)
+                }
+                RecordState::Dispatched(_) | RecordState::DispatchedElsewhere => {
                     HandoverState::Dispatched
                 }
             };
-            let mut heirs = ranked(&self.ring.members, *key);
-            heirs.retain(|m| m.process != self.me.process);
-            let Some(first) = heirs.first().copied() else { continue };
+            let mut successors = ranked(&self.ring.members, *key);
+            successors.retain(|m| m.process != self.me.process);
+            let Some(first) = successors.first().copied() else { continue };
             let handed = HandoverRecord { key: *key, holder: record.holder, state };
-            parts.entry(first).or_default().push(handed);
-            if let Some(second) = heirs.get(1) {
+            batches.entry(first).or_default().push(handed);
+            if let Some(second) = successors.get(1) {
                 let copy = match state {
                     HandoverState::DispatchedByLeaver(_) => {
                         HandoverRecord { holder: first, state: HandoverState::Dispatched, ..handed }
                     }
                     HandoverState::Granted(_) | HandoverState::Dispatched => handed,
                 };
-                parts.entry(*second).or_default().push(copy);
+                batches.entry(*second).or_default().push(copy);
             }
         }
-        parts
+        batches
     }
 
-    /// Takes over records of another agent.
+    /// Takes over records from another agent.
     pub fn take_over(&mut self, records: &[HandoverRecord], now: Timestamp) {
         for handed in records {
             let (holder, state) = match handed.state {
-                HandoverState::Granted(epoch) => (handed.holder, Standing::Granted(epoch)),
-                HandoverState::Dispatched => (handed.holder, Standing::DispatchedElsewhere),
-                HandoverState::DispatchedByLeaver(phase) => (self.me, Standing::Dispatched(phase)),
+                HandoverState::Granted(epoch) => (handed.holder, RecordState::Granted(epoch)),
+                HandoverState::Dispatched => (handed.holder, RecordState::DispatchedElsewhere),
+                HandoverState::DispatchedByLeaver(phase) => {
+                    (self.me, RecordState::Dispatched(phase))
+                }
             };
             let known = self.records.get(&handed.key);
             let replaces = match handed.state {
-                // What this agent did itself it knows best.
+                // This agent's record of its own dispatch is the most reliable one.
                 _ if self.phase(handed.key).is_some() => false,
                 HandoverState::Granted(epoch) => known.is_none_or(|r| r.state.is_before(epoch)),
                 HandoverState::Dispatched | HandoverState::DispatchedByLeaver(_) => {
--- a/crates/dillmill-core/src/claims/ledger/record.rs
+++ b/crates/dillmill-core/src/claims/ledger/record.rs
@@ -1,19 +1,21 @@
+//! The ledger's record of one key.
+
 use crate::Timestamp;
 use crate::claims::answer::Phase;
 use crate::claims::ring::{Epoch, RingMember};
 
-/// What a record says of its key.
+/// State of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Standing {
-    /// Granted to the holder in this epoch; in a later one only a hint to ask the holder.
+pub(super) enum RecordState {
+    /// Granted to the holder in this epoch. In a later epoch this is only a hint to ask the holder.
     Granted(Epoch),
-    /// This agent is the holder and has dispatched it.
+    /// This agent is the holder and has dispatched the request, or has taken over such a record.
     Dispatched(Phase),
-    /// The holder has dispatched it, by its own word.
+    /// The holder has reported that it dispatched the request.
     DispatchedElsewhere,
 }
 
-impl Standing {
+impl RecordState {
     pub(super) fn is_dispatched(self) -> bool {
         !matches!(self, Self::Granted(_))
     }
@@ -23,10 +25,10 @@
     }
 }
 
-/// What is held of one key.
+/// The record of one key.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Record {
     pub(super) holder: RingMember,
-    pub(super) state: Standing,
+    pub(super) state: RecordState,
     pub(super) at: Timestamp,
 }
--- a/crates/dillmill-core/src/claims/ring.rs
+++ b/crates/dillmill-core/src/claims/ring.rs
@@ -1,4 +1,4 @@
-//! The agents of a service that settle claims, and their order for a key.
+//! The ring of agents that decide claims for a service, and their order of precedence for a key.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -7,18 +7,18 @@
 
 use crate::{Home, HomeTable, ProcessId, Weight};
 
-/// An idempotency key with its service and group, hashed.
+/// Hash of an idempotency key together with its service and group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey(pub [u8; 16]);
 
-/// Number of a ring; a later ring has a higher one.
+/// Version number of a ring; a later ring has a higher one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Epoch(pub u64);
 
-/// One agent of a ring.
+/// An agent in a ring.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RingMember {
     /// The agent's process.
@@ -27,7 +27,7 @@
     pub control: SocketAddrV4,
 }
 
-/// A ring that was in force.
+/// A ring that is no longer in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastRing {
     /// Its epoch.
@@ -37,31 +37,32 @@
 }
 
 impl PastRing {
-    /// Returns whether `process` was the only agent.
+    /// Returns whether `process` was the only agent in this ring.
     #[must_use]
     pub fn is_sole_member(&self, process: ProcessId) -> bool {
         self.members.len() == 1 && self.members[0].process == process
     }
 }
 
-/// The ring of a service as the platform holds it.
+/// The ring of a service, as stored in the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ring {
-    /// Epoch in force.
+    /// Current epoch.
     pub epoch: Epoch,
-    /// Agents in force.
+    /// Current agents.
     pub members: Vec<RingMember>,
-    /// Rings that may still have live records, newest first.
+    /// Past rings that may still have live records, newest first.
     pub past: Vec<PastRing>,
-    /// Agents that left and first passed all their records on; nobody needs to ask them.
+    /// Agents that handed over all their records before they left, and so need not be asked.
     pub handed_over: BTreeSet<ProcessId>,
 }
 
 impl Ring {
-    /// Returns the next ring, with `add` and without `remove`.
+    /// Returns the next ring, with the agents in `add` and without those in `remove`.
     ///
-    /// Past rings from `live_since` on may still have live records. An epoch, not a number of rings: another agent
-    /// may have changed the ring since the caller looked.
+    /// Past rings from epoch `live_since` on are kept, as they may still have live records. This is an
+    /// epoch and not a number of rings, because another agent may have changed the ring since the caller
+    /// read it.
     #[must_use]
     pub fn changed(&self, add: &[RingMember], remove: &[ProcessId], live_since: Epoch) -> Self {
         let mut next = self.clone();
@@ -80,10 +81,10 @@
         next
     }
 
-    /// Returns this ring without its past rings in which `process` was alone.
+    /// Returns the next ring without the past rings in which `process` was the only agent.
     ///
-    /// Only `process` may do this, after it has passed all its records to the authorities of this
-    /// ring: until then nobody else has copies, and its loss would leave every key unknown.
+    /// Only `process` may do this, and only after it has handed over all its records to the authorities
+    /// of this ring. Until then no other agent has copies, and its loss would leave every key unknown.
     #[must_use]
     pub fn without_sole_rings(&self, process: ProcessId) -> Self {
         let mut next = self.changed(&[], &[], Epoch::default());
@@ -91,7 +92,7 @@
         next
     }
 
-    /// Returns this ring with `process` marked as having passed on its records.
+    /// Returns the next ring without `process`, marked as having handed over its records.
     #[must_use]
     pub fn with_handed_over(&self, process: ProcessId) -> Self {
         let mut next = self.changed(&[], &[process], Epoch::default());
@@ -99,13 +100,15 @@
         next
     }
 
-    /// Returns whether `process` is in force.
+    /// Returns whether `process` is a current agent of this ring.
     #[must_use]
     pub fn contains(&self, process: ProcessId) -> bool {
         self.members.iter().any(|m| m.process == process)
     }
 }
 
+/// Returns `members` in their order of precedence for `key`, by rendezvous hashing; the first is the
+/// authority.
 pub(super) fn ranked(members: &[RingMember], key: ClaimKey) -> Vec<RingMember> {
     let homes = members.iter().map(|m| Home {
         process: m.process,
--- a/crates/dillmill-core/src/evacuations.rs
+++ b/crates/dillmill-core/src/evacuations.rs
@@ -1,7 +1,8 @@
-//! Which data centres are to get no new flows.
+//! Evacuation orders: which data centres get no new flows.
 //!
-//! Operators order it, one data centre at a time, and take the order back. Processes pass the orders in force on as a
-//! whole, with the revision at which they stood, so that a process that has missed some of them needs only the newest.
+//! Operators order an evacuation for one data centre at a time and revoke it later. Processes pass on
+//! the complete set of orders together with its revision, so that a process that has missed some changes
+//! needs only the newest set.
 
 use std::collections::BTreeSet;
 
@@ -9,18 +10,18 @@
 
 use crate::{Revision, ZoneName};
 
-/// An order of an operator, or its end.
+/// An evacuation order that an operator gives or revokes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationChange {
     /// The data centre.
     pub zone: ZoneName,
-    /// The order holds from now on; otherwise it is taken back.
+    /// Whether the order is given; otherwise it is revoked.
     pub ordered: bool,
-    /// The revision of the change.
+    /// Revision of the change.
     pub revision: Revision,
 }
 
-/// The data centres that are to get no new flows, as it stood at one revision.
+/// The data centres under evacuation, which get no new flows, as of one revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
     revision: Revision,
@@ -28,44 +29,45 @@
 }
 
 impl Evacuations {
-    /// Creates the orders that stood at `revision`.
+    /// Creates the set of orders in force at `revision`.
     #[must_use]
     pub fn new(revision: Revision, zones: impl IntoIterator<Item = ZoneName>) -> Self {
         Self { revision, zones: zones.into_iter().collect() }
     }
 
-    /// Returns the revision at which the orders stood.
+    /// Returns the revision of this set of orders.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns the data centres that are to get no new flows.
+    /// Returns the data centres under evacuation.
     pub fn zones(&self) -> impl Iterator<Item = &ZoneName> {
         self.zones.iter()
     }
 
-    /// Returns whether `zone` is to get no new flows.
+    /// Returns whether `zone` is under evacuation.
     #[must_use]
     pub fn contains(&self, zone: &ZoneName) -> bool {
         self.zones.contains(zone)
     }
 
-    /// Returns whether no data centre is evacuated.
+    /// Returns whether no data centre is under evacuation.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty()
     }
 
-    /// Returns the orders after `changes`, oldest first; `None` if all of them are known already.
+    /// Applies `changes`, given oldest first, and returns the new set, or `None` if all of them are
+    /// already included.
     ///
-    /// Changes of one revision are told together, as they were made by one write.
+    /// All changes of one revision must be in the same call, as they were made by one write.
     #[must_use]
     pub fn after(&self, changes: &[EvacuationChange]) -> Option<Self> {
-        let news: Vec<_> = changes.iter().filter(|c| c.revision > self.revision).collect();
-        let revision = news.iter().map(|c| c.revision).max()?;
+        let newer: Vec<_> = changes.iter().filter(|c| c.revision > self.revision).collect();
+        let revision = newer.iter().map(|c| c.revision).max()?;
         let mut zones = self.zones.clone();
-        for change in news {
+        for change in newer {
             if change.ordered {
                 zones.insert(change.zone.clone());
             } else {
--- a/crates/dillmill-core/src/event.rs
+++ b/crates/dillmill-core/src/event.rs
@@ -1,4 +1,4 @@
-//! The time line of one process: a bounded ring of events with their causes.
+//! Event log of one process: a ring buffer of events with their causes.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -7,7 +7,7 @@
 
 use crate::Timestamp;
 
-/// Kind of an event.
+/// Category of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
@@ -15,13 +15,13 @@
     Process,
     /// A settings revision came into force.
     Settings,
-    /// A member's standing changed.
+    /// The status of a member changed.
     Member,
-    /// A flow began, ended or was passed on.
+    /// A flow began, ended or was forwarded to another agent.
     Flow,
-    /// A request was refused, handed over, or ended in an unknown outcome.
+    /// A request was refused, handed over, or ended with an unknown outcome.
     Request,
-    /// The platform failed or answered again.
+    /// The platform stopped answering or answered again.
     Platform,
 }
 
@@ -41,19 +41,19 @@
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// When, by the clock of the process.
+    /// Time of the event, by the clock of the process.
     pub at: Timestamp,
-    /// Number within the process, from 1.
+    /// Sequence number within the process, starting at 1.
     pub seq: u64,
-    /// Kind.
+    /// Category.
     pub kind: EventKind,
     /// What happened.
     pub what: String,
-    /// Why.
+    /// Why it happened.
     pub cause: String,
 }
 
-/// The last events of a process.
+/// The most recent events of a process.
 #[derive(Debug)]
 pub struct EventLog {
     events: VecDeque<Event>,
@@ -62,13 +62,13 @@
 }
 
 impl EventLog {
-    /// Creates a ring for `capacity` events.
+    /// Creates a log that keeps the last `capacity` events.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self { events: VecDeque::with_capacity(capacity), capacity, last_seq: 0 }
     }
 
-    /// Adds an event, dropping the oldest of a full ring.
+    /// Appends an event; a full log drops its oldest one.
     pub fn push(&mut self, now: Timestamp, kind: EventKind, what: String, cause: String) {
         if self.events.len() == self.capacity {
             self.events.pop_front();
--- a/crates/dillmill-core/src/generation_cache.rs
+++ b/crates/dillmill-core/src/generation_cache.rs
@@ -1,4 +1,4 @@
-//! A map that forgets what has not been used for a while.
+//! A cache that evicts entries after a period without use.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -6,58 +6,59 @@
 
 use crate::Timestamp;
 
-/// A bounded map in two generations.
+/// A bounded map with two generations.
 ///
-/// Entries that are used move to the young generation. After each `lifetime` the old generation is
-/// dropped whole and the young one takes its place, so an entry is kept for one to two lifetimes
-/// after its last use and no entry is ever looked for to be dropped.
+/// Using an entry moves it to the young generation. After each `lifetime` the old generation is dropped
+/// as a whole and the young one takes its place. An entry is thus kept for one to two lifetimes after its
+/// last use, and eviction never scans for expired entries.
 #[derive(Debug)]
 pub struct GenerationCache<K, V> {
     young: HashMap<K, V>,
     old: HashMap<K, V>,
     lifetime: Duration,
     capacity: usize,
-    turned: Option<Timestamp>,
+    last_rotation: Option<Timestamp>,
 }
 
 impl<K: Copy + Eq + Hash, V> GenerationCache<K, V> {
-    /// Creates a map; a generation of `capacity` entries makes room by dropping the old one.
+    /// Creates an empty map. When the young generation reaches `capacity` entries, the old one is dropped
+    /// early to make room.
     #[must_use]
     pub fn new(lifetime: Duration, capacity: usize) -> Self {
-        Self { young: HashMap::new(), old: HashMap::new(), lifetime, capacity, turned: None }
+        Self { young: HashMap::new(), old: HashMap::new(), lifetime, capacity, last_rotation: None }
     }
 
-    fn turn_if_due(&mut self, now: Timestamp) {
-        let turned = *self.turned.get_or_insert(now);
-        if now.since(turned) >= self.lifetime || self.young.len() >= self.capacity {
+    fn rotate_if_due(&mut self, now: Timestamp) {
+        let last_rotation = *self.last_rotation.get_or_insert(now);
+        if now.since(last_rotation) >= self.lifetime || self.young.len() >= self.capacity {
             self.old = std::mem::take(&mut self.young);
-            self.turned = Some(now);
+            self.last_rotation = Some(now);
         }
     }
 
     /// Sets the value of `key`.
     pub fn insert(&mut self, key: K, value: V, now: Timestamp) {
-        self.turn_if_due(now);
+        self.rotate_if_due(now);
         self.old.remove(&key);
         self.young.insert(key, value);
     }
 
-    /// Returns the value of `key`, which counts as a use.
+    /// Returns the value of `key` and counts this as a use.
     pub fn get_mut(&mut self, key: &K, now: Timestamp) -> Option<&mut V> {
-        self.turn_if_due(now);
+        self.rotate_if_due(now);
         if let Some(value) = self.old.remove(key) {
             self.young.insert(*key, value);
         }
         self.young.get_mut(key)
     }
 
-    /// Returns the value of `key` without using it.
+    /// Returns the value of `key` without counting this as a use.
     #[must_use]
     pub fn peek(&self, key: &K) -> Option<&V> {
         self.young.get(key).or_else(|| self.old.get(key))
     }
 
-    /// Forgets `key`.
+    /// Removes `key` and returns its value.
     pub fn remove(&mut self, key: &K) -> Option<V> {
         let young = self.young.remove(key);
         let old = self.old.remove(key);
@@ -69,12 +70,12 @@
         self.young.iter().chain(self.old.iter())
     }
 
-    /// Returns all entries; looking at them is no use of them.
+    /// Returns all entries without counting this as a use.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.young.iter_mut().chain(self.old.iter_mut())
     }
 
-    /// Forgets everything.
+    /// Removes all entries.
     pub fn clear(&mut self) {
         self.young.clear();
         self.old.clear();
@@ -86,7 +87,7 @@
         self.young.len() + self.old.len()
     }
 
-    /// Returns whether there is no entry.
+    /// Returns whether the map is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
--- a/crates/dillmill-core/src/interval.rs
+++ b/crates/dillmill-core/src/interval.rs
@@ -1,4 +1,4 @@
-//! Lengths of time in settings.
+//! Durations as written in settings.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A length of time written as a whole number and a unit: `250ms`, `3s`, `10m` or `2h`.
+/// A duration, written as a whole number and a unit: `250ms`, `3s`, `10m` or `2h`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -22,19 +22,19 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Interval(u64);
 
-/// Why a length of time was refused.
+/// Error for text that is not a valid [`Interval`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is not a length of time: write a whole number and ms, s, m or h, such as 250ms")]
 pub struct IntervalError(String);
 
 impl Interval {
-    /// Creates a length of `ms` milliseconds.
+    /// Creates an interval of `ms` milliseconds.
     #[must_use]
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms)
     }
 
-    /// Returns the standard library's type.
+    /// Returns the interval as a [`Duration`].
     #[must_use]
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
--- a/crates/dillmill-core/src/member.rs
+++ b/crates/dillmill-core/src/member.rs
@@ -1,4 +1,4 @@
-//! What a process says of itself.
+//! The membership record that each process publishes about itself.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -7,12 +7,12 @@
 
 use crate::{ProcessId, ServiceName, Timestamp, VmName, Weight, ZoneName};
 
-/// What a process does.
+/// Role of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Routes packets of callers to agents.
+    /// Forwards callers' packets to agents.
     Balancer,
-    /// Runs the requests of one service on the target beside it.
+    /// Runs the requests of one service on its local target.
     Agent(ServiceName),
 }
 
@@ -25,18 +25,18 @@
     }
 }
 
-/// Standing of a process, in ascending order of precedence within one version of its record.
+/// Status of a process, in ascending order of precedence within one version of its record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// Takes new work.
+    /// Accepts new work.
     Serving,
-    /// Finishes what it has and takes no new work, by its own word.
+    /// Finishes its current work and accepts no new work; reported by the process itself.
     Leaving,
-    /// Has no target, by its own word, and so holds no flow; takes no new work.
+    /// Has no target and therefore no flows, and accepts no new work; reported by the process itself.
     Empty,
-    /// Did not answer; takes no new work until it speaks again.
+    /// Did not answer a probe; gets no new work until it answers again.
     Suspect,
-    /// Stayed silent, or said that it has stopped.
+    /// Did not answer for too long, or reported that it has stopped.
     Down,
 }
 
@@ -52,59 +52,59 @@
     }
 }
 
-/// Whether the platform's store answers a process.
+/// Whether a process can reach the platform's store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StoreReach {
-    /// It has not asked lately.
+    /// The process has not called the store lately.
     #[default]
     Unknown,
-    /// It answers.
+    /// The store answers.
     Answers,
-    /// It turns the process away, or can't be reached.
+    /// The store rejects the process's calls or is unreachable.
     Fails,
 }
 
-/// Whether an agent knows each flow that its target holds, as it has seen all of them begin.
+/// Whether an agent knows every flow of its target, having seen all of them begin.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FlowCoverage {
-    /// Its target may hold flows from before the agent's start.
+    /// The target may have flows from before the agent's start.
     #[default]
     Partial,
-    /// It knows them all.
+    /// The agent knows all flows of its target.
     Complete,
 }
 
-/// The record of one process, as spread among all.
+/// The record of one process, as distributed to all processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// This run of the process.
+    /// Id of the process, different for each run.
     pub process: ProcessId,
     /// Name of its VM.
     pub vm: VmName,
-    /// Data centre.
+    /// Its data centre.
     pub zone: ZoneName,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Where packets of flows reach it.
+    /// Address for packets of flows.
     pub data: SocketAddrV4,
-    /// Where messages between processes reach it.
+    /// Address for control messages between processes.
     pub control: SocketAddrV4,
     /// When it started, by its own clock.
     pub started: Timestamp,
-    /// Share of new flows against its siblings.
+    /// Share of new flows relative to other agents of the service.
     pub weight: Weight,
-    /// Raised by the process itself whenever it changes or refutes its record.
+    /// Incremented by the process itself whenever it changes its record or refutes a wrong one.
     pub version: u32,
-    /// Standing.
+    /// Its status.
     pub status: MemberStatus,
-    /// Whether the platform's store answers it, as far as it has asked.
+    /// Whether the process can reach the platform's store, as of its last call.
     pub store: StoreReach,
-    /// What it knows of its target's flows; means nothing for a balancer.
+    /// Whether the agent knows all flows of its target; without meaning for a balancer.
     pub coverage: FlowCoverage,
 }
 
 impl Member {
-    /// Creates the first record of a process, which serves, with a weight of 1.
+    /// Creates the first record of a process, with status [`MemberStatus::Serving`] and a weight of 1.
     #[must_use]
     pub fn new(
         process: ProcessId,
--- a/crates/dillmill-core/src/membership.rs
+++ b/crates/dillmill-core/src/membership.rs
@@ -1,22 +1,26 @@
-//! Which processes are serving, leaving, suspect or down.
+//! Fleet membership: tracks which processes are serving, leaving, suspect or down.
 //!
-//! A probing protocol after SWIM (Das, Gupta and Motivala, 2002): each process probes one other at
-//! a time, asks two more to probe when no answer comes, then suspects, and after a delay declares
-//! the silent one down. Records spread as rumours: a record that is new to a process is passed at
-//! once to [`FANOUT`] others, and every probe and answer carries a digest so that two processes
-//! find out that they differ. What a comparison brings is no news: others compare as well.
+//! The failure detector follows SWIM (Das, Gupta and Motivala, 2002). Each process probes one peer
+//! at a time. If the peer does not answer, the process asks two others to probe it, then marks the
+//! peer as suspect, and after a further delay declares it down.
 //!
-//! | Part | Holds |
+//! Records spread by gossip: a process sends each record that is new to it to [`FANOUT`] peers at
+//! once. Every probe and answer also carries a digest, so that two processes notice when their
+//! records differ and can synchronise them. Records learned by synchronisation are not gossiped
+//! further, because the other processes synchronise as well.
+//!
+//! | Module | Responsibility |
 //! |---|---|
-//! | `peer_table` | all records, found by address, standing and data centre, or drawn at random |
-//! | `records` | which of two records holds, and which is news |
-//! | `probing` | who is asked, and what no answer means |
-//! | `unconfirmed_downs` | who was held for down by silence just now, and may object |
-//! | `joining` | how a process finds others and compares records with them |
-//! | `settling` | whether all processes are known |
+//! | `peer_table` | stores all records; looks them up by address, status and data centre, or at random |
+//! | `records` | decides which of two records wins and which records are gossiped |
+//! | `probing` | selects the peers to probe and handles missing answers |
+//! | `unconfirmed_downs` | tracks processes just declared down for silence, which may still refute it |
+//! | `joining` | finds other processes and synchronises records with them |
+//! | `settling` | decides whether all processes are known |
 //!
-//! Silence removes new work and nothing else: flows are pinned by their connection ids, and a
-//! process that speaks again raises its version and is served again.
+//! A process that stops answering only stops getting new work. Existing flows stay with it, as they are
+//! pinned by their connection ids. When it answers again, it raises the version of its record and
+//! gets new work again.
 
 use std::collections::{HashSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -47,15 +51,17 @@
 pub use probe::{Digest, MemberChange, Outgoing, Probe, RandomIndex};
 pub use record_buckets::RecordBuckets;
 
-/// Others to which a new record is passed at once.
+/// Number of peers to which a new record is gossiped at once.
 pub const FANOUT: usize = 4;
-/// Records in one datagram; about 70 bytes each.
+/// Maximum number of records in one datagram; a record takes about 70 bytes.
 pub const RECORDS_PER_DATAGRAM: usize = 12;
-/// A tick that comes this late means that this process was paused, not that others were silent.
+/// A longer gap between two ticks means that this process was paused, not that its peers were silent.
 const PAUSE: Duration = Duration::from_millis(800);
-/// Number of pings that tell a process what is held of it; no probe waits for their answer.
-const ABOUT_SEQ: u32 = 0;
+/// Sequence number of pings whose answers are not tracked by a pending probe, such as those that tell a
+/// process which record of it the sender holds.
+const UNTRACKED_SEQ: u32 = 0;
 
+/// The probe that awaits an answer.
 #[derive(Debug, Clone, Copy)]
 struct Pending {
     subject: ProcessId,
@@ -64,7 +70,7 @@
     asked_helpers: bool,
 }
 
-/// A ping made for another process.
+/// A ping sent on behalf of another process.
 #[derive(Debug, Clone, Copy)]
 struct Relay {
     seq: u32,
@@ -73,14 +79,14 @@
     sent: Timestamp,
 }
 
-/// Whom to compare all records with.
+/// The peer to synchronise all records with.
 #[derive(Debug, Clone, Copy)]
 enum SyncPeer {
     This(SocketAddrV4),
     Any,
 }
 
-/// The view that one process has of all.
+/// One process's view of the whole fleet.
 #[derive(Debug)]
 pub struct Membership {
     me: Arc<Member>,
@@ -89,42 +95,43 @@
     seq: u32,
     pending: Option<Pending>,
     relays: Vec<Relay>,
-    fresh: VecDeque<ProcessId>,
-    is_fresh: HashSet<ProcessId>,
+    gossip_queue: VecDeque<ProcessId>,
+    gossip_queued: HashSet<ProcessId>,
     changes: Vec<MemberChange>,
     next_probe: Timestamp,
-    next_revive: Timestamp,
+    next_down_probe: Timestamp,
     next_forget: Timestamp,
     next_sync: Timestamp,
     first_tick: Option<Timestamp>,
-    /// The last peer that was compared with held the same records.
-    agrees: bool,
-    /// When a process became known that was not known before.
-    last_newcomer: Option<Timestamp>,
-    /// When a peer last showed which records it holds.
-    last_compared: Option<Timestamp>,
+    /// Whether the last digest received showed the same records as this view.
+    last_digest_matched: bool,
+    /// When a previously unknown process was last added.
+    last_newcomer_at: Option<Timestamp>,
+    /// When a peer's digest last arrived.
+    last_digest_at: Option<Timestamp>,
     pauses: PauseDetector,
     revision: Revision,
     evacuations: Revision,
     stored_size: StoredSize,
-    /// Too many ask this process for what is new to them: it shows newcomers no revision for a moment.
+    /// This process is answering too many synchronisations. While this is set, the digests that it sends
+    /// to newcomers show no settings revision, so that they fetch the routes from another process.
     busy: bool,
-    /// Peers to compare all records with.
-    wants_sync: VecDeque<SyncPeer>,
-    /// Seeds to ask.
-    joins: Vec<SocketAddrV4>,
+    /// Peers to synchronise all records with.
+    pending_syncs: VecDeque<SyncPeer>,
+    /// Seeds to contact next.
+    seeds_to_contact: Vec<SocketAddrV4>,
     generation: u64,
     seeds: Vec<SocketAddrV4>,
     next_seed: Timestamp,
 }
 
 impl Membership {
-    /// Creates a view that holds only `me`.
+    /// Creates a view that contains only `me`.
     #[must_use]
     pub fn new(me: Member) -> Self {
         Self {
-            fresh: VecDeque::from([me.process]),
-            is_fresh: HashSet::from([me.process]),
+            gossip_queue: VecDeque::from([me.process]),
+            gossip_queued: HashSet::from([me.process]),
             others: PeerTable::new(me.zone.clone()),
             unconfirmed_downs: UnconfirmedDowns::default(),
             me: Arc::new(me),
@@ -133,20 +140,20 @@
             relays: Vec::new(),
             changes: Vec::new(),
             next_probe: Timestamp::default(),
-            next_revive: Timestamp::default(),
+            next_down_probe: Timestamp::default(),
             next_forget: Timestamp::default(),
             next_sync: Timestamp::default(),
             first_tick: None,
-            agrees: false,
-            last_newcomer: None,
-            last_compared: None,
+            last_digest_matched: false,
+            last_newcomer_at: None,
+            last_digest_at: None,
             pauses: PauseDetector::new(PAUSE),
             revision: Revision::default(),
             evacuations: Revision::default(),
             stored_size: StoredSize::default(),
             busy: false,
-            wants_sync: VecDeque::new(),
-            joins: Vec::new(),
+            pending_syncs: VecDeque::new(),
+            seeds_to_contact: Vec::new(),
             generation: 0,
             seeds: Vec::new(),
             next_seed: Timestamp::default(),
@@ -159,17 +166,19 @@
         &self.me
     }
 
-    /// Returns all records but this process's own.
+    /// Returns all records except this process's own.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.others.members().map(Arc::as_ref)
     }
 
-    /// Returns all records.
+    /// Returns all records, starting with this process's own.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(self.me.as_ref()).chain(self.others())
     }
 
-    /// Returns all records, shared with this view: who is down by silence only just now is shown as suspect.
+    /// Returns all records, shared with this view.
+    ///
+    /// A process that was declared down for silence only a moment ago is shown as suspect.
     #[must_use]
     pub fn shared(&self) -> Vec<Arc<Member>> {
         let shown = |member: &Arc<Member>| {
@@ -182,13 +191,13 @@
         std::iter::once(self.me.clone()).chain(self.others.members().map(shown)).collect()
     }
 
-    /// Returns the number of processes not known to be down, this one included.
+    /// Returns the number of processes that are not known to be down, including this one.
     #[must_use]
     pub fn fleet(&self) -> usize {
         self.others.up() + usize::from(self.me.status != MemberStatus::Down)
     }
 
-    /// Returns the agents of `service` that take new work.
+    /// Returns the agents of `service` that accept new work.
     pub fn serving(&self, service: &ServiceName) -> impl Iterator<Item = &Member> {
         self.all().filter(move |m| {
             m.status == MemberStatus::Serving
@@ -196,29 +205,31 @@
         })
     }
 
-    /// Returns how long `process` has had its standing, `None` if it is not known.
+    /// Returns the status of `process` and how long it has had it, or `None` for an unknown process.
     #[must_use]
     pub fn standing(&self, process: ProcessId, now: Timestamp) -> Option<(MemberStatus, Duration)> {
         self.others.get(process).map(|e| (e.member.status, now.since(e.since)))
     }
 
-    /// Returns a number that grows with every change of the view.
+    /// Returns a counter that increases with every change of the view.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Sets the settings revision that the digest shows.
+    /// Sets the settings revision to advertise in digests.
     pub fn set_revision(&mut self, revision: Revision) {
         self.revision = revision;
     }
 
-    /// Sets the revision of the evacuation orders that the digest shows.
+    /// Sets the revision of the evacuation orders to advertise in digests.
     pub fn set_evacuations(&mut self, revision: Revision) {
         self.evacuations = revision;
     }
 
-    /// Sets whether too many ask this process for what is new to them.
+    /// Sets whether this process is answering too many synchronisations.
+    ///
+    /// While it is, digests sent to newcomers show no settings revision.
     pub fn set_busy(&mut self, busy: bool) {
         self.busy = busy;
     }
@@ -240,15 +251,15 @@
         self.others.hash() ^ record_hash(&self.me)
     }
 
-    /// Returns the changes since the last call.
+    /// Returns the status changes since the last call.
     pub fn take_changes(&mut self) -> Vec<MemberChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns a ping that shows this process's digest; no answer to it is waited for.
+    /// Returns a ping that announces this process's digest and needs no answer.
     #[must_use]
     pub fn announcement(&self) -> Probe {
-        Probe::Ping { seq: ABOUT_SEQ, digest: self.digest(), receiver_record: None }
+        Probe::Ping { seq: UNTRACKED_SEQ, digest: self.digest(), receiver_record: None }
     }
 
     /// Returns a random peer that is not down.
@@ -258,7 +269,7 @@
 
     /// Returns up to `n` random peers that are not down.
     pub fn random_peers(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<SocketAddrV4> {
-        self.others.draw(n, draw).into_iter().map(|m| m.control).collect()
+        self.others.sample(n, draw).into_iter().map(|m| m.control).collect()
     }
 }
 
@@ -266,7 +277,7 @@
     xxh3_64(&record_bytes(member))
 }
 
-/// What tells two versions of a record apart.
+/// Returns the bytes that distinguish the versions of a record.
 fn record_bytes(member: &Member) -> [u8; 13] {
     let mut bytes = [0; 13];
     bytes[..8].copy_from_slice(&member.process.0.to_le_bytes());
--- a/crates/dillmill-core/src/membership/fleet_size.rs
+++ b/crates/dillmill-core/src/membership/fleet_size.rs
@@ -1,4 +1,4 @@
-//! How many processes there were when all was calm.
+//! The steady-state number of processes in the fleet, as kept in the platform's store.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -27,12 +27,13 @@
     }
 }
 
-/// The size that the platform's store holds, so that those who start after a loss of power can tell when they know
-/// all others.
+/// The fleet size kept in the platform's store.
+///
+/// Processes that start after a power failure use it to tell when they know all other processes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredSize {
-    /// Processes; 0 where nothing is known.
+    /// Number of processes, or 0 if unknown.
     pub size: FleetSize,
-    /// The store's version of it: a higher one is newer.
+    /// Version of the entry in the store; a higher one is newer.
     pub version: u64,
 }
--- a/crates/dillmill-core/src/membership/peer_table.rs
+++ b/crates/dillmill-core/src/membership/peer_table.rs
@@ -1,4 +1,4 @@
-//! The records of all other processes, with what finds them without a walk over all.
+//! Stores the records of all other processes, with indexes that avoid a scan over all of them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
@@ -12,34 +12,35 @@
 #[derive(Debug, Clone)]
 pub(super) struct Entry {
     pub(super) member: Arc<Member>,
-    /// Since when the process has its standing.
+    /// When the process got its current status.
     pub(super) since: Timestamp,
 }
 
-/// The records of all other processes.
+/// The records of all other processes, indexed by id, address, status and data centre.
 #[derive(Debug)]
 pub(super) struct PeerTable {
     zone: ZoneName,
     entries: BTreeMap<ProcessId, Entry>,
     by_address: HashMap<SocketAddrV4, Vec<ProcessId>>,
-    /// Those that are not down, and those of them in the own data centre.
+    /// Processes that are not down.
     up: SamplingSet<ProcessId>,
-    near: SamplingSet<ProcessId>,
+    /// Processes in this process's own data centre that are not down.
+    same_zone: SamplingSet<ProcessId>,
     suspect: SamplingSet<ProcessId>,
-    /// Those that are down, other than those whose address another run has taken over.
+    /// Processes that are down, except those whose address another process has taken over.
     lost: SamplingSet<ProcessId>,
     hash: u64,
 }
 
 impl PeerTable {
-    /// Creates the roster of a process in data centre `zone`.
+    /// Creates the table of a process in data centre `zone`.
     pub(super) fn new(zone: ZoneName) -> Self {
         Self {
             zone,
             entries: BTreeMap::new(),
             by_address: HashMap::new(),
             up: SamplingSet::default(),
-            near: SamplingSet::default(),
+            same_zone: SamplingSet::default(),
             suspect: SamplingSet::default(),
             lost: SamplingSet::default(),
             hash: 0,
@@ -75,28 +76,32 @@
         there.iter().filter_map(|process| self.entries.get(process)).map(|entry| &entry.member)
     }
 
-    /// Returns up to `n` processes that are not down.
-    pub(super) fn draw(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<&Arc<Member>> {
-        self.look_up(&self.up.draw(n, draw))
+    /// Returns up to `n` random processes that are not down.
+    pub(super) fn sample(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<&Arc<Member>> {
+        self.look_up(&self.up.sample(n, draw))
     }
 
-    /// Returns up to `n` processes of the own data centre that are not down.
-    pub(super) fn draw_near(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<&Arc<Member>> {
-        self.look_up(&self.near.draw(n, draw))
+    /// Returns up to `n` random processes of this process's own data centre that are not down.
+    pub(super) fn sample_same_zone(
+        &self,
+        n: usize,
+        draw: &mut RandomIndex<'_>,
+    ) -> Vec<&Arc<Member>> {
+        self.look_up(&self.same_zone.sample(n, draw))
     }
 
-    /// Returns a process that is not down.
-    pub(super) fn draw_one(&self, draw: &mut RandomIndex<'_>) -> Option<ProcessId> {
-        self.up.draw_one(draw)
+    /// Returns a random process that is not down.
+    pub(super) fn sample_one(&self, draw: &mut RandomIndex<'_>) -> Option<ProcessId> {
+        self.up.sample_one(draw)
     }
 
-    /// Returns a process that is down and may come back.
-    pub(super) fn draw_lost(&self, draw: &mut RandomIndex<'_>) -> Option<ProcessId> {
-        self.lost.draw_one(draw)
+    /// Returns a random process that is down and may come back.
+    pub(super) fn sample_lost(&self, draw: &mut RandomIndex<'_>) -> Option<ProcessId> {
+        self.lost.sample_one(draw)
     }
 
-    fn look_up(&self, drawn: &[ProcessId]) -> Vec<&Arc<Member>> {
-        drawn.iter().filter_map(|process| self.entries.get(process)).map(|e| &e.member).collect()
+    fn look_up(&self, sampled: &[ProcessId]) -> Vec<&Arc<Member>> {
+        sampled.iter().filter_map(|process| self.entries.get(process)).map(|e| &e.member).collect()
     }
 
     /// Returns the processes that have been suspect for `limit`.
@@ -107,8 +112,8 @@
         self.suspect.iter().filter(long).copied().collect()
     }
 
-    /// Counts the time of all suspects from `now` on.
-    pub(super) fn suspect_since(&mut self, now: Timestamp) {
+    /// Restarts the suspicion timeout of all suspect processes at `now`.
+    pub(super) fn restart_suspicion(&mut self, now: Timestamp) {
         for process in self.suspect.iter() {
             if let Some(entry) = self.entries.get_mut(process) {
                 entry.since = now;
@@ -116,10 +121,10 @@
         }
     }
 
-    /// Puts a record in the place of what is held of its process.
-    pub(super) fn put(&mut self, member: Arc<Member>, now: Timestamp) {
+    /// Inserts a record, replacing the stored record of the same process.
+    pub(super) fn upsert(&mut self, member: Arc<Member>, now: Timestamp) {
         let process = member.process;
-        let old = self.take(process);
+        let old = self.remove_entry(process);
         let since = match &old {
             Some(old) if old.member.status == member.status => old.since,
             _ => now,
@@ -128,14 +133,14 @@
         let (addr, status) = (member.control, member.status);
         let is_up = status != MemberStatus::Down;
         self.up.set(process, is_up);
-        self.near.set(process, is_up && member.zone == self.zone);
+        self.same_zone.set(process, is_up && member.zone == self.zone);
         self.suspect.set(process, status == MemberStatus::Suspect);
         self.by_address.entry(addr).or_default().push(process);
         self.entries.insert(process, Entry { member, since });
-        self.note_lost(addr);
+        self.update_lost(addr);
     }
 
-    /// Forgets the processes that have been down for `limit`.
+    /// Removes the processes that have been down for `limit`.
     pub(super) fn forget_down(&mut self, limit: Duration, now: Timestamp) {
         let long = |(_, e): &(&ProcessId, &Entry)| {
             e.member.status == MemberStatus::Down && now.since(e.since) >= limit
@@ -147,15 +152,15 @@
     }
 
     fn forget(&mut self, process: ProcessId) {
-        for set in [&mut self.up, &mut self.near, &mut self.suspect, &mut self.lost] {
+        for set in [&mut self.up, &mut self.same_zone, &mut self.suspect, &mut self.lost] {
             set.set(process, false);
         }
-        if let Some(old) = self.take(process) {
-            self.note_lost(old.member.control);
+        if let Some(old) = self.remove_entry(process) {
+            self.update_lost(old.member.control);
         }
     }
 
-    fn take(&mut self, process: ProcessId) -> Option<Entry> {
+    fn remove_entry(&mut self, process: ProcessId) -> Option<Entry> {
         let old = self.entries.remove(&process)?;
         self.hash ^= record_hash(&old.member);
         if let Some(there) = self.by_address.get_mut(&old.member.control) {
@@ -167,8 +172,8 @@
         Some(old)
     }
 
-    /// Notes which processes at `addr` are lost: all, or none where one of them is up.
-    fn note_lost(&mut self, addr: SocketAddrV4) {
+    /// Updates which processes at `addr` are lost: none if one of them is up, otherwise all.
+    fn update_lost(&mut self, addr: SocketAddrV4) {
         let Some(there) = self.by_address.get(&addr) else { return };
         let is_up = |process: &ProcessId| {
             self.entries.get(process).is_some_and(|e| e.member.status != MemberStatus::Down)
--- a/crates/dillmill-core/src/membership/probe.rs
+++ b/crates/dillmill-core/src/membership/probe.rs
@@ -8,18 +8,18 @@
 use super::StoredSize;
 use crate::{Member, MemberStatus, ProcessId, Revision};
 
-/// What two processes compare.
+/// A summary of a process's state, exchanged to detect differences.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The sender: another process at the address of a member proves that the member has ended.
+    /// The sender. If it is not the member known at this address, that member has ended.
     pub process: ProcessId,
     /// Settings revision in force.
     pub revision: Revision,
     /// Revision of the evacuation orders that the sender knows.
     pub evacuations: Revision,
-    /// Size of the fleet that the platform's store holds, as far as the sender knows.
+    /// Newest fleet size from the platform's store that the sender knows.
     pub stored_size: StoredSize,
-    /// Processes that the sender knows, other than those that are down.
+    /// Number of processes that the sender knows and that are not down.
     pub known: u32,
     /// Hash over all member records.
     pub members: u64,
@@ -28,52 +28,52 @@
 /// A message of the probing protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Probe {
-    /// Asks for an [`Probe::Ack`].
+    /// Requests a [`Probe::Ack`].
     Ping {
-        /// Number of the probe at its sender.
+        /// Sequence number assigned by the sender.
         seq: u32,
         /// Sender's digest.
         digest: Digest,
-        /// Sender's record of the receiver, so that it can refute a wrong one.
+        /// The sender's record of the receiver, so that the receiver can refute a wrong one.
         receiver_record: Option<Member>,
     },
     /// Answers a ping.
     Ack {
-        /// Number of the ping.
+        /// Sequence number of the ping.
         seq: u32,
         /// Sender's digest.
         digest: Digest,
     },
-    /// Asks the receiver to ping `subject` and pass the answer on.
+    /// Requests that the receiver ping `subject` and relay the answer.
     PingReq {
-        /// Number of the probe at its sender.
+        /// Sequence number assigned by the sender.
         seq: u32,
         /// Control address to ping.
         subject: SocketAddrV4,
     },
-    /// Records that are new to the sender.
+    /// Records that are new to the sender, to be gossiped further.
     Records(Vec<Member>),
-    /// To a newcomer: some of the records that the sender holds.
+    /// Some of the sender's records, sent to a newcomer.
     Sample(Vec<Member>),
 }
 
-/// A message and where to send it.
+/// A message and its destination.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Control address.
+    /// Control address of the receiver.
     pub to: SocketAddrV4,
     /// The message.
     pub probe: Probe,
 }
 
-/// A change of a member's standing, for the time line.
+/// A change of a member's status, for the event log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberChange {
-    /// The record now held.
+    /// The current record.
     pub member: Arc<Member>,
-    /// The standing before, `None` for a new member.
+    /// The previous status, or `None` for a new member.
     pub before: Option<MemberStatus>,
 }
 
-/// Draws an index below its argument.
+/// A source of randomness that returns an index below its argument.
 pub type RandomIndex<'a> = dyn FnMut(usize) -> usize + 'a;
--- a/crates/dillmill-core/src/membership/probing.rs
+++ b/crates/dillmill-core/src/membership/probing.rs
@@ -1,11 +1,11 @@
-//! Probes: who is asked, who has not answered, what an answer tells.
+//! Probes peers, detects those that do not answer, and handles probe messages.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use super::{
-    ABOUT_SEQ, Digest, Membership, Outgoing, Pending, Probe, RECORDS_PER_DATAGRAM, RandomIndex,
-    Relay,
+    Digest, Membership, Outgoing, Pending, Probe, RECORDS_PER_DATAGRAM, RandomIndex, Relay,
+    UNTRACKED_SEQ,
 };
 use crate::{Member, MemberStatus, ProcessId, Revision, Timestamp};
 
@@ -13,44 +13,45 @@
 const DIRECT_TIMEOUT: Duration = Duration::from_millis(400);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 const SUSPECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time between two pings to processes that are held for down. One that was cut off for a while must be known
-/// again well before callers have used up their patience: its flows run on.
-const REVIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between pings to processes that are declared down. A process that was cut off for a while
+/// must be found again well before callers time out, because its flows continue.
+const DOWN_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const FORGET_AFTER: Duration = Duration::from_mins(30);
 const FORGET_INTERVAL: Duration = Duration::from_mins(1);
-/// Records that a newcomer is told by whoever it joins through. It compares with some of these processes next, so that
-/// not all newcomers take all records from a few seeds.
-const SAMPLE: usize = RECORDS_PER_DATAGRAM - 1;
-const YOUNG_PROBE_INTERVAL: Duration = Duration::from_millis(100);
-const HELPERS: usize = 2;
+/// Number of records in the sample that a newcomer gets from the process through which it joins. The
+/// newcomer synchronises with some of these processes next, so that not all newcomers fetch all records
+/// from a few seeds.
+const SAMPLE_RECORDS: usize = RECORDS_PER_DATAGRAM - 1;
+const STARTUP_PROBE_INTERVAL: Duration = Duration::from_millis(100);
+const INDIRECT_PROBERS: usize = 2;
 
 impl Membership {
-    /// Advances timers and returns what is to be sent; call it every 50 ms or so.
+    /// Advances timers and returns the messages to send; to be called about every 50 ms.
     pub fn tick(&mut self, now: Timestamp, draw: &mut RandomIndex<'_>) -> Vec<Outgoing> {
-        self.forgive_pause(now);
+        self.reset_after_pause(now);
         let mut out = Vec::new();
         self.check_pending(now, draw, &mut out);
         self.expire(now);
         if now >= self.next_probe && self.pending.is_none() {
-            let young = self.is_young(now);
-            self.next_probe = now + if young { YOUNG_PROBE_INTERVAL } else { PROBE_INTERVAL };
+            let starting = self.is_starting(now);
+            self.next_probe = now + if starting { STARTUP_PROBE_INTERVAL } else { PROBE_INTERVAL };
             self.probe_next(now, draw, &mut out);
         }
-        if now >= self.next_revive {
-            self.next_revive = now + REVIVE_INTERVAL;
+        if now >= self.next_down_probe {
+            self.next_down_probe = now + DOWN_PROBE_INTERVAL;
             self.probe_down(draw, &mut out);
         }
         self.try_seed(now, draw);
         out.extend(self.take_join_messages());
-        self.spread(draw, &mut out);
+        self.send_gossip(draw, &mut out);
         out
     }
 
-    pub(super) fn forgive_pause(&mut self, now: Timestamp) {
+    pub(super) fn reset_after_pause(&mut self, now: Timestamp) {
         self.first_tick.get_or_insert(now);
         if self.pauses.was_paused(now) {
             self.pending = None;
-            self.others.suspect_since(now);
+            self.others.restart_suspicion(now);
         }
     }
 
@@ -75,7 +76,7 @@
             self.pending = Some(Pending { asked_helpers: true, ..pending });
             let Some(entry) = self.others.get(pending.subject) else { return };
             let subject = entry.member.control;
-            for to in self.random_peers(HELPERS, draw) {
+            for to in self.random_peers(INDIRECT_PROBERS, draw) {
                 if to != subject {
                     let probe = Probe::PingReq { seq: pending.seq, subject };
                     out.push(Outgoing { to, probe });
@@ -104,16 +105,16 @@
         draw: &mut RandomIndex<'_>,
         out: &mut Vec<Outgoing>,
     ) {
-        let Some(subject) = self.others.draw_one(draw) else { return };
-        self.seq = self.seq.wrapping_add(1).max(ABOUT_SEQ + 1);
+        let Some(subject) = self.others.sample_one(draw) else { return };
+        self.seq = self.seq.wrapping_add(1).max(UNTRACKED_SEQ + 1);
         self.pending = Some(Pending { subject, seq: self.seq, sent: now, asked_helpers: false });
         out.extend(self.ping(subject, self.seq));
     }
 
-    /// Pings a process that is held for down, other than one whose address another run has taken over.
+    /// Pings a random process that is declared down, unless another process has taken over its address.
     pub(super) fn probe_down(&self, draw: &mut RandomIndex<'_>, out: &mut Vec<Outgoing>) {
-        let lost = self.others.draw_lost(draw);
-        out.extend(lost.and_then(|process| self.ping(process, ABOUT_SEQ)));
+        let lost = self.others.sample_lost(draw);
+        out.extend(lost.and_then(|process| self.ping(process, UNTRACKED_SEQ)));
     }
 
     pub(super) fn ping(&self, subject: ProcessId, seq: u32) -> Option<Outgoing> {
@@ -124,7 +125,7 @@
         Some(Outgoing { to: member.control, probe })
     }
 
-    /// Takes in a message that came from `from`.
+    /// Handles a message from `from` and returns the messages to send.
     pub fn receive(
         &mut self,
         from: SocketAddrV4,
@@ -134,14 +135,14 @@
     ) -> Vec<Outgoing> {
         match probe {
             Probe::Ping { seq, digest, receiver_record } => {
-                self.pinged(from, seq, digest, receiver_record, now, draw)
+                self.handle_ping(from, seq, digest, receiver_record, now, draw)
             }
             Probe::Ack { seq, digest } => {
-                self.compare(from, digest, seq, now);
-                self.acknowledge(from, seq)
+                self.handle_digest(from, digest, seq, now);
+                self.handle_ack(from, seq)
             }
             Probe::PingReq { seq, subject } => {
-                self.seq = self.seq.wrapping_add(1).max(ABOUT_SEQ + 1);
+                self.seq = self.seq.wrapping_add(1).max(UNTRACKED_SEQ + 1);
                 self.relays.push(Relay { seq: self.seq, for_addr: from, for_seq: seq, sent: now });
                 let probe =
                     Probe::Ping { seq: self.seq, digest: self.digest(), receiver_record: None };
@@ -160,7 +161,7 @@
         }
     }
 
-    pub(super) fn pinged(
+    pub(super) fn handle_ping(
         &mut self,
         from: SocketAddrV4,
         seq: u32,
@@ -170,46 +171,51 @@
         draw: &mut RandomIndex<'_>,
     ) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        let stranger = self.others.at(from).next().is_none();
-        let newcomer = seq == ABOUT_SEQ && self.is_newcomer(digest.process, now);
-        if receiver_record.is_some() || stranger || newcomer {
+        let unknown_sender = self.others.at(from).next().is_none();
+        let newcomer = seq == UNTRACKED_SEQ && self.is_newcomer(digest.process, now);
+        if receiver_record.is_some() || unknown_sender || newcomer {
             if let Some(member) = receiver_record {
                 self.learn(member, now);
             }
             let me = Member::clone(&self.me);
             out.push(Outgoing { to: from, probe: Probe::Records(vec![me]) });
         }
-        if stranger || newcomer {
-            let some = self.others.draw(SAMPLE, draw).into_iter().filter(|m| m.control != from);
+        if unknown_sender || newcomer {
+            let some =
+                self.others.sample(SAMPLE_RECORDS, draw).into_iter().filter(|m| m.control != from);
             let sample = some.map(|m| Member::clone(m)).collect();
             out.push(Outgoing { to: from, probe: Probe::Sample(sample) });
         }
-        self.compare(from, digest, seq, now);
+        self.handle_digest(from, digest, seq, now);
         let mut digest = self.digest();
-        if self.busy && (stranger || newcomer) {
-            // It hears of the routes from one of those that it is told of.
+        if self.busy && (unknown_sender || newcomer) {
+            // The newcomer gets the routes from one of the processes in its sample instead.
             digest.revision = Revision::default();
         }
         out.push(Outgoing { to: from, probe: Probe::Ack { seq, digest } });
         out
     }
 
-    pub(super) fn acknowledge(&mut self, from: SocketAddrV4, seq: u32) -> Vec<Outgoing> {
+    pub(super) fn handle_ack(&mut self, from: SocketAddrV4, seq: u32) -> Vec<Outgoing> {
         if self.pending.is_some_and(|pending| pending.seq == seq) {
             self.pending = None;
         }
-        // An answer to a ping that was itself about a wrong record is not followed by another.
+        // An answer to an untracked ping, which may itself have carried the wrong record, causes no
+        // further ping.
         let speaks_again: Vec<Member> = self
             .others
             .at(from)
-            .filter(|m| seq != ABOUT_SEQ && m.status >= MemberStatus::Suspect)
+            .filter(|m| seq != UNTRACKED_SEQ && m.status >= MemberStatus::Suspect)
             .map(|m| Member::clone(m))
             .collect();
         let mut out: Vec<Outgoing> = speaks_again
             .into_iter()
             .map(|m| {
-                let probe =
-                    Probe::Ping { seq: ABOUT_SEQ, digest: self.digest(), receiver_record: Some(m) };
+                let probe = Probe::Ping {
+                    seq: UNTRACKED_SEQ,
+                    digest: self.digest(),
+                    receiver_record: Some(m),
+                };
                 Outgoing { to: from, probe }
             })
             .collect();
--- a/crates/dillmill-core/src/membership/record_buckets.rs
+++ b/crates/dillmill-core/src/membership/record_buckets.rs
@@ -1,4 +1,4 @@
-//! Hashes by which two processes find the records that they hold differently.
+//! Bucket hashes by which two processes find the records in which they differ.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -6,15 +6,17 @@
 use super::record_bytes;
 use crate::Member;
 
-/// Records in a bucket: what differs is sent with the rest of its bucket.
-const PER_BUCKET: usize = 2;
-const FEWEST: usize = 64;
-/// Most buckets: some 12 kB for each comparison.
-const MOST: usize = 4096;
+/// Average number of records in a bucket. A record that differs is sent together with the rest of its
+/// bucket.
+const RECORDS_PER_BUCKET: usize = 2;
+const MIN_BUCKETS: usize = 64;
+/// Maximum number of buckets, which take about 12 kB in each comparison.
+const MAX_BUCKETS: usize = 4096;
 
 /// All records of a process, divided into buckets with a short hash each.
 ///
-/// Short hashes may agree where the records do not, so each comparison divides them anew, by its `salt`.
+/// Short hashes can collide although the records differ. Each comparison therefore uses a different
+/// `salt`, which changes both the division into buckets and the hashes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordBuckets {
     salt: u64,
@@ -22,17 +24,17 @@
 }
 
 impl RecordBuckets {
-    /// Creates the buckets of `members`, of which there are about `n`.
+    /// Hashes `members`, about `n` in number, into buckets.
     pub(super) fn new<'a>(members: impl Iterator<Item = &'a Member>, n: usize, salt: u64) -> Self {
-        let count = (n / PER_BUCKET).next_power_of_two().clamp(FEWEST, MOST);
-        Self { salt, hashes: vec![0; count] }.of(members)
+        let count = (n / RECORDS_PER_BUCKET).next_power_of_two().clamp(MIN_BUCKETS, MAX_BUCKETS);
+        Self { salt, hashes: vec![0; count] }.with_same_buckets(members)
     }
 
-    /// Returns the same division of other records.
-    pub(super) fn of<'a>(&self, members: impl Iterator<Item = &'a Member>) -> Self {
+    /// Hashes `members` into the same number of buckets with the same salt.
+    pub(super) fn with_same_buckets<'a>(&self, members: impl Iterator<Item = &'a Member>) -> Self {
         let mut same = Self { salt: self.salt, hashes: vec![0; self.hashes.len()] };
         for member in members {
-            let (bucket, hash) = same.place(member);
+            let (bucket, hash) = same.bucket_and_hash(member);
             if let Some(sum) = same.hashes.get_mut(bucket) {
                 *sum ^= hash;
             }
@@ -40,18 +42,19 @@
         same
     }
 
-    /// Returns whether the bucket of `member` differs from that of `other`, a division with the same salt.
+    /// Returns whether the hash of the bucket that contains `member` differs in `other`, which has the
+    /// same salt.
     pub(super) fn differs(&self, other: &Self, member: &Member) -> bool {
-        let (bucket, _) = self.place(member);
-        // A question without buckets asks for everything.
+        let (bucket, _) = self.bucket_and_hash(member);
+        // A request without buckets asks for all records.
         other.hashes.is_empty() || self.hashes.get(bucket) != other.hashes.get(bucket)
     }
 
-    fn place(&self, member: &Member) -> (usize, u16) {
+    fn bucket_and_hash(&self, member: &Member) -> (usize, u16) {
         let [a, b, ..] = xxh3_64_with_seed(&record_bytes(member), self.salt).to_le_bytes();
         let buckets = u64::try_from(self.hashes.len()).unwrap_or(1).max(1);
         let process = member.process.0.wrapping_add(self.salt).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        // The high bits depend on all others.
+        // The high bits of the product depend on all bits of the process id.
         let bucket = usize::try_from((process >> 32) % buckets).unwrap_or(0);
         (bucket, u16::from_le_bytes([a, b]))
     }
--- a/crates/dillmill-core/src/membership/records.rs
+++ b/crates/dillmill-core/src/membership/records.rs
@@ -1,4 +1,4 @@
-//! Records of processes: taken in, told apart by version and address, passed on as news.
+//! Applies received records, resolves conflicts by version and address, and gossips new records.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -6,8 +6,9 @@
 use super::{FANOUT, MemberChange, Membership, Outgoing, Probe, RECORDS_PER_DATAGRAM, RandomIndex};
 use crate::{Member, MemberStatus, ProcessId, Timestamp};
 
-/// How many of them are in any data centre; the rest are in the own one, as bytes between data centres cost. Each
-/// process that hears of a record passes it on, so each data centre still gets it from many sides.
+/// Number of gossip peers, out of [`FANOUT`], chosen from any data centre. The rest are in this process's
+/// own one, because traffic between data centres is paid for. Each process that learns a record gossips
+/// it, so each data centre still gets it from many sources.
 const FANOUT_ANYWHERE: usize = 2;
 
 impl Membership {
@@ -17,27 +18,29 @@
         change(me);
         me.version += 1;
         self.generation += 1;
-        self.mark_fresh(self.me.process);
+        self.queue_gossip(self.me.process);
     }
 
-    /// Takes in a record, if it is newer than the one held; then it is passed on.
+    /// Applies a record if it is newer than the stored one, and then gossips it.
     pub fn learn(&mut self, member: Member, now: Timestamp) {
         let process = member.process;
-        if self.take_in(member, now) {
-            self.mark_fresh(process);
+        if self.apply_record(member, now) {
+            self.queue_gossip(process);
         }
     }
 
-    /// Takes in records that a comparison has brought: they are held by others who compare too, and if all passed on
-    /// all that they learn when everything starts, it would go to everybody many times over.
+    /// Applies records learned by synchronisation, without gossiping them.
+    ///
+    /// Other processes that hold these records synchronise as well. If all of them gossiped what they
+    /// learn while the whole fleet starts, every record would reach every process many times.
     pub fn learn_from_sync(&mut self, members: impl IntoIterator<Item = Member>, now: Timestamp) {
         for member in members {
-            self.take_in(member, now);
+            self.apply_record(member, now);
         }
     }
 
-    /// Returns whether the record was newer.
-    pub(super) fn take_in(&mut self, member: Member, now: Timestamp) -> bool {
+    /// Applies a record and returns whether it was newer than the stored one.
+    pub(super) fn apply_record(&mut self, member: Member, now: Timestamp) -> bool {
         if member.process == self.me.process {
             self.refute(&member);
             return false;
@@ -49,7 +52,8 @@
             None if member.status == MemberStatus::Down => return false,
             None => None,
         };
-        // The word of the process itself comes with a higher version.
+        // A process that reports its own change raises the version, so an equal version means that others
+        // declared the status because the process was silent.
         let by_silence = held.is_some_and(|held| held.version == member.version);
         if by_silence && member.status == MemberStatus::Down {
             self.unconfirmed_downs.note(member.process, now);
@@ -61,13 +65,17 @@
         true
     }
 
-    /// A process found at the address of an earlier run of itself proves that the run has ended.
+    /// Marks earlier processes at the address of `newcomer` as down: only one process can use an
+    /// address, so the one that started later proves that the earlier one has ended.
     pub(super) fn retire_predecessors(&mut self, newcomer: &Member, now: Timestamp) {
         let ended = |m: &Member| m.process != newcomer.process && m.started < newcomer.started;
         self.retire(newcomer.control, ended, now);
     }
 
-    /// Whoever speaks from an address is the only one there, whatever the clocks of both say.
+    /// Marks all other processes at `addr` as down, if `speaker` is known.
+    ///
+    /// The process that sends from an address is the only one there, whatever start times the clocks of
+    /// both processes gave.
     pub(super) fn retire_others_at(
         &mut self,
         addr: SocketAddrV4,
@@ -93,7 +101,7 @@
             member.status = MemberStatus::Down;
             self.unconfirmed_downs.clear(process);
             self.store(member, before, now);
-            self.mark_fresh(process);
+            self.queue_gossip(process);
         }
     }
 
@@ -108,19 +116,19 @@
 
     pub(super) fn store(&mut self, member: Member, before: Option<MemberStatus>, now: Timestamp) {
         if before.is_none() {
-            self.last_newcomer = Some(now);
+            self.last_newcomer_at = Some(now);
         }
         let member = Arc::new(member);
         if before != Some(member.status) {
             self.changes.push(MemberChange { member: member.clone(), before });
         }
-        self.others.put(member, now);
+        self.others.upsert(member, now);
         self.generation += 1;
     }
 
-    pub(super) fn mark_fresh(&mut self, process: ProcessId) {
-        if self.is_fresh.insert(process) {
-            self.fresh.push_back(process);
+    pub(super) fn queue_gossip(&mut self, process: ProcessId) {
+        if self.gossip_queued.insert(process) {
+            self.gossip_queue.push_back(process);
         }
     }
 
@@ -132,12 +140,12 @@
         }
     }
 
-    pub(super) fn spread(&mut self, draw: &mut RandomIndex<'_>, out: &mut Vec<Outgoing>) {
-        while !self.fresh.is_empty() {
-            let n = self.fresh.len().min(RECORDS_PER_DATAGRAM);
-            let processes: Vec<ProcessId> = self.fresh.drain(..n).collect();
+    pub(super) fn send_gossip(&mut self, draw: &mut RandomIndex<'_>, out: &mut Vec<Outgoing>) {
+        while !self.gossip_queue.is_empty() {
+            let n = self.gossip_queue.len().min(RECORDS_PER_DATAGRAM);
+            let processes: Vec<ProcessId> = self.gossip_queue.drain(..n).collect();
             for process in &processes {
-                self.is_fresh.remove(process);
+                self.gossip_queued.remove(process);
             }
             let records: Vec<Member> = processes.iter().filter_map(|p| self.record(*p)).collect();
             for to in self.gossip_peers(draw) {
@@ -153,14 +161,14 @@
         self.others.get(process).map(|entry| Member::clone(&entry.member))
     }
 
-    /// Returns the peers to which news are passed.
+    /// Returns random peers to gossip to, some of them in this process's own data centre.
     pub fn gossip_peers(&self, draw: &mut RandomIndex<'_>) -> Vec<SocketAddrV4> {
-        let near = self.others.draw_near(FANOUT - FANOUT_ANYWHERE, draw);
-        let near: Vec<_> = near.into_iter().map(|m| m.control).collect();
+        let same_zone = self.others.sample_same_zone(FANOUT - FANOUT_ANYWHERE, draw);
+        let same_zone: Vec<_> = same_zone.into_iter().map(|m| m.control).collect();
         let mut peers = self.random_peers(FANOUT, draw);
-        peers.retain(|peer| !near.contains(peer));
-        peers.truncate(FANOUT - near.len());
-        peers.extend(near);
+        peers.retain(|peer| !same_zone.contains(peer));
+        peers.truncate(FANOUT - same_zone.len());
+        peers.extend(same_zone);
         peers
     }
 }
--- a/crates/dillmill-core/src/membership/sampling_set.rs
+++ b/crates/dillmill-core/src/membership/sampling_set.rs
@@ -1,20 +1,20 @@
-//! A set from which members are drawn at random.
+//! A set that supports random sampling.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use super::RandomIndex;
 
-/// A set whose members are added, removed and drawn in a few steps, however many there are.
+/// A set in which insertion, removal and the sampling of one item take constant time.
 #[derive(Debug)]
 pub(super) struct SamplingSet<T> {
     items: Vec<T>,
-    places: HashMap<T, usize>,
+    positions: HashMap<T, usize>,
 }
 
 impl<T> Default for SamplingSet<T> {
     fn default() -> Self {
-        Self { items: Vec::new(), places: HashMap::new() }
+        Self { items: Vec::new(), positions: HashMap::new() }
     }
 }
 
@@ -23,41 +23,41 @@
         self.items.len()
     }
 
-    /// Puts `item` in or takes it out.
-    pub(super) fn set(&mut self, item: T, is_in: bool) {
-        match (is_in, self.places.get(&item).copied()) {
+    /// Inserts `item` if `present` is set, otherwise removes it.
+    pub(super) fn set(&mut self, item: T, present: bool) {
+        match (present, self.positions.get(&item).copied()) {
             (true, None) => {
-                self.places.insert(item, self.items.len());
+                self.positions.insert(item, self.items.len());
                 self.items.push(item);
             }
-            (false, Some(place)) => {
-                self.places.remove(&item);
-                self.items.swap_remove(place);
-                if let Some(moved) = self.items.get(place) {
-                    self.places.insert(*moved, place);
+            (false, Some(position)) => {
+                self.positions.remove(&item);
+                self.items.swap_remove(position);
+                if let Some(moved) = self.items.get(position) {
+                    self.positions.insert(*moved, position);
                 }
             }
             (true, Some(_)) | (false, None) => {}
         }
     }
 
-    /// Returns up to `n` different members.
-    pub(super) fn draw(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<T> {
+    /// Returns up to `n` distinct random items.
+    pub(super) fn sample(&self, n: usize, draw: &mut RandomIndex<'_>) -> Vec<T> {
         if n >= self.items.len() {
             return self.items.clone();
         }
-        let mut drawn: Vec<usize> = Vec::with_capacity(n);
-        while drawn.len() < n {
+        let mut chosen: Vec<usize> = Vec::with_capacity(n);
+        while chosen.len() < n {
             let i = draw(self.items.len());
-            if !drawn.contains(&i) {
-                drawn.push(i);
+            if !chosen.contains(&i) {
+                chosen.push(i);
             }
         }
-        drawn.into_iter().map(|i| self.items[i]).collect()
+        chosen.into_iter().map(|i| self.items[i]).collect()
     }
 
-    /// Returns one member.
-    pub(super) fn draw_one(&self, draw: &mut RandomIndex<'_>) -> Option<T> {
+    /// Returns a random item, or `None` if the set is empty.
+    pub(super) fn sample_one(&self, draw: &mut RandomIndex<'_>) -> Option<T> {
         (!self.items.is_empty()).then(|| self.items[draw(self.items.len())])
     }
 
--- a/crates/dillmill-core/src/membership/unconfirmed_downs.rs
+++ b/crates/dillmill-core/src/membership/unconfirmed_downs.rs
@@ -1,15 +1,17 @@
-//! Processes held for down by silence alone, for so short a time that they may still object.
+//! Tracks processes that were declared down for silence alone, so recently that they may still refute it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::{ProcessId, Timestamp};
 
-/// Longer than the objection of a living process takes to come back.
-const OBJECTION_TIME: Duration = Duration::from_millis(500);
+/// Longer than a running process takes to hear of the declaration and refute it.
+const REFUTATION_WINDOW: Duration = Duration::from_millis(500);
 
-/// Guards the flows of a living process against a wrong word of its end: while that is in doubt, a search that does
-/// not reach the process proves nothing.
+/// Processes declared down for silence within the last [`REFUTATION_WINDOW`].
+///
+/// This protects the flows of a process that was wrongly declared down. Until the window has passed, a
+/// search for the owner of a flow that does not reach the process proves nothing.
 #[derive(Debug, Default)]
 pub(super) struct UnconfirmedDowns {
     since: HashMap<ProcessId, Timestamp>,
@@ -28,10 +30,10 @@
         self.since.contains_key(&process)
     }
 
-    /// Ends what is no longer in doubt; returns whether there was any.
+    /// Removes entries whose refutation window has passed; returns whether there were any.
     pub(super) fn expire(&mut self, now: Timestamp) -> bool {
         let before = self.since.len();
-        self.since.retain(|_, since| now.since(*since) < OBJECTION_TIME);
+        self.since.retain(|_, since| now.since(*since) < REFUTATION_WINDOW);
         self.since.len() < before
     }
 }
--- a/crates/dillmill-core/src/names.rs
+++ b/crates/dillmill-core/src/names.rs
@@ -1,16 +1,16 @@
-//! Names that operators choose: services, groups, VMs and data centres.
+//! Validated names that operators choose for services, groups, VMs and data centres.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name, in bytes (the limit of a DNS label, RFC 1035 section 2.3.4).
+/// Maximum length of a name in bytes (the limit of a DNS label, RFC 1035 section 2.3.4).
 pub const MAX_NAME_LEN: usize = 63;
 
-/// Why a name was refused.
+/// Error for text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("`{0}` is not a name: use 1 to 63 of a-z, 0-9 and `-`, starting with a letter or digit")]
+#[error("invalid name `{0}`: use 1 to 63 of a-z, 0-9 and `-`, starting with a letter or digit")]
 pub struct NameError(pub String);
 
 fn check(text: &str) -> Result<(), NameError> {
@@ -84,7 +84,7 @@
     ServiceName
 }
 name! {
-    /// Name of a group of callers that shares the pool of targets.
+    /// Name of a group of callers that shares the pool of targets with other groups.
     GroupName
 }
 name! {
--- a/crates/dillmill-core/src/numbers.rs
+++ b/crates/dillmill-core/src/numbers.rs
@@ -1,4 +1,4 @@
-//! Numbers with a unit or a meaning of their own.
+//! Newtypes for numbers with a unit or a specific meaning.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -32,35 +32,36 @@
 }
 
 number! {
-    /// Number of a settings tree: each accepted change has the next one.
+    /// Revision number of a settings tree; each accepted change gets the next one.
     Revision(u64)
 }
 number! {
-    /// Number of a service inside connection ids; unique in the settings tree.
+    /// Number that identifies a service in connection ids; unique in the settings tree.
     ServiceNumber(u16)
 }
 number! {
-    /// Requests that a target runs at once.
+    /// Number of requests that a target runs concurrently.
     Slots(u16)
 }
 number! {
-    /// Share of a group or of a target against its siblings.
+    /// Relative share of a group or target among its siblings.
     Weight(u16)
 }
 number! {
-    /// Whole percent.
+    /// Percentage, as a whole number.
     Percent(u8)
 }
 
 impl Revision {
-    /// Returns the revision that the next accepted change gets.
+    /// Returns the revision of the next accepted change.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// One run of a process: drawn at random at each start, so a restart is another process.
+/// Id of one run of a process, chosen at random at each start, so that a restarted process counts as a
+/// new one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/dillmill-core/src/pause_detector.rs
+++ b/crates/dillmill-core/src/pause_detector.rs
@@ -1,13 +1,14 @@
-//! Notices that this process itself was paused.
+//! Detects that this process itself was paused.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Watches the time between two looks.
+/// Detects pauses by the time between two checks.
 ///
-/// A process that stood still finds that nobody has answered it for a while, and must blame nobody for
-/// that. It looks at every tick; a look that comes much too late means that it was paused.
+/// A process that was paused has received no answers in the meantime, and must not treat its peers as
+/// unresponsive for that. It checks at every tick; a check that comes far too late means that it was
+/// paused.
 #[derive(Debug)]
 pub struct PauseDetector {
     limit: Duration,
@@ -15,13 +16,13 @@
 }
 
 impl PauseDetector {
-    /// Creates a watch that takes a gap of more than `limit` for a pause.
+    /// Creates a detector that treats a gap of more than `limit` as a pause.
     #[must_use]
     pub const fn new(limit: Duration) -> Self {
         Self { limit, last: None }
     }
 
-    /// Looks, and returns whether the process was paused since the last look.
+    /// Returns whether the process was paused since the last call.
     pub fn was_paused(&mut self, now: Timestamp) -> bool {
         let last = self.last.replace(now);
         last.is_some_and(|last| now.since(last) > self.limit)
--- a/crates/dillmill-core/src/route_table.rs
+++ b/crates/dillmill-core/src/route_table.rs
@@ -1,30 +1,31 @@
-//! The routes in force, ready for look-ups by packet.
+//! The routes in force, indexed by address for a lookup per packet.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use crate::{FlowTuple, Revision, ServiceTag, Weight};
 
-/// Seed of the choice among the services of a route; any number that no address gives will do.
+/// Seed of the hash that chooses among the services of a route. Any number works that does not result
+/// from an address.
 const SHARE_SEED: u64 = u64::MAX;
 
-/// Where the new flows of a route go.
+/// The services of a route and its limits.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RouteEntry {
     /// Services with their shares of new flows.
     pub shares: Vec<(ServiceTag, Weight)>,
-    /// Services that had a share under an earlier revision: open flows stay with them.
+    /// Services that had a share in an earlier revision; their open flows stay with them.
     pub former: Vec<ServiceTag>,
-    /// Time within which an answer is of full use to callers.
+    /// Target latency: the time within which an answer is of full use to callers.
     pub latency_aim: Option<Duration>,
-    /// Time after which callers give a request up.
+    /// Time after which callers give up on a request.
     pub timeout: Option<Duration>,
-    /// Callers may repeat a request after any failure.
+    /// Whether callers may repeat a request after any failure.
     pub repeatable: bool,
 }
 
 impl RouteEntry {
-    /// Returns the service of a new flow: the same in every process with this revision.
+    /// Returns the service for a new flow, which is the same in every process that has this revision.
     #[must_use]
     pub fn service(&self, flow: &FlowTuple) -> Option<ServiceTag> {
         let total: u64 = self.shares.iter().map(|(_, weight)| u64::from(weight.0)).sum();
@@ -47,13 +48,13 @@
         self.shares.iter().any(|(s, weight)| *s == service && weight.0 > 0)
     }
 
-    /// Returns all services that may hold a flow of this route.
+    /// Returns all services that may have flows of this route, former ones included.
     #[must_use]
     pub fn services(&self) -> Vec<ServiceTag> {
         self.shares.iter().map(|(s, _)| *s).chain(self.former.iter().copied()).collect()
     }
 
-    fn remember(&mut self, before: &Self) {
+    fn add_former(&mut self, before: &Self) {
         for service in before.services() {
             if !self.former.contains(&service) && !self.shares.iter().any(|(s, _)| *s == service) {
                 self.former.push(service);
@@ -62,20 +63,20 @@
     }
 }
 
-/// The routes of one revision.
+/// The routes of one settings revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RouteTable {
     /// Revision of the settings.
     pub revision: Revision,
     routes: Vec<(SocketAddrV4, RouteEntry)>,
-    /// Services that the settings name, besides those of routes.
+    /// Services named in the settings in addition to those of routes.
     services: Vec<ServiceTag>,
-    /// Requests a second that a target carries which has only just started, for services that tell.
+    /// Requests per second that a newly started target can handle, for services that specify it.
     cold_rates: Vec<(ServiceTag, u32)>,
 }
 
 impl RouteTable {
-    /// Creates a table; of two routes with one address the first counts.
+    /// Creates a table; if two routes have the same address, the first one is used.
     #[must_use]
     pub fn new(
         revision: Revision,
@@ -87,21 +88,21 @@
         Self { revision, routes, services: Vec::new(), cold_rates: Vec::new() }
     }
 
-    /// Sets the requests a second that a target of each service carries which has only just started.
+    /// Sets the requests per second that a newly started target of each service can handle.
     #[must_use]
     pub fn cold_rates(mut self, rates: impl IntoIterator<Item = (ServiceTag, u32)>) -> Self {
         self.cold_rates = rates.into_iter().collect();
         self
     }
 
-    /// Sets the services that the settings name.
+    /// Sets the services named in the settings.
     #[must_use]
     pub fn services(mut self, services: impl IntoIterator<Item = ServiceTag>) -> Self {
         self.services = services.into_iter().collect();
         self
     }
 
-    /// Returns whether the settings name `service`.
+    /// Returns whether `service` is named in the settings, on its own or as a service of a route.
     #[must_use]
     pub fn names(&self, service: ServiceTag) -> bool {
         let of_route =
@@ -109,18 +110,18 @@
         self.services.contains(&service) || self.routes.iter().any(of_route)
     }
 
-    /// Returns the requests a second that a target of `service` carries which has only just started, if that is told.
+    /// Returns the requests per second that a newly started target of `service` can handle, if specified.
     #[must_use]
     pub fn cold_rate(&self, service: ServiceTag) -> Option<u32> {
         self.cold_rates.iter().find(|(s, _)| *s == service).map(|(_, rate)| *rate)
     }
 
-    /// Remembers where open flows of `before` may be.
+    /// Adds the services of `before` as former services of the same routes, as they may have open flows.
     #[must_use]
     pub fn after(mut self, before: &Self) -> Self {
         for (address, entry) in &mut self.routes {
             if let Some(old) = before.get(*address) {
-                entry.remember(old);
+                entry.add_former(old);
             }
         }
         self
--- a/crates/dillmill-core/src/secret.rs
+++ b/crates/dillmill-core/src/secret.rs
@@ -1,10 +1,10 @@
-//! Text that must not be shown.
+//! Text that must not appear in output or logs.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A secret text; `Debug` and `Display` hide it.
+/// A secret string, hidden by its `Debug` and `Display` implementations.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(String);
--- a/crates/dillmill-core/src/service_tag.rs
+++ b/crates/dillmill-core/src/service_tag.rs
@@ -1,4 +1,4 @@
-//! Short form of a service's name on packets between processes.
+//! Compact service identifier in packets between processes.
 
 use std::fmt;
 
@@ -7,9 +7,9 @@
 
 use crate::ServiceName;
 
-/// Hash of a service's name: 4 bytes on every packet in place of up to 63.
+/// Hash of a service's name, which takes 4 bytes in each packet instead of up to 63.
 ///
-/// Two of 640 services share a tag with a probability of 5 in 100,000; the tree of routes refuses
+/// The probability that any two of 640 services have the same tag is 5 in 100,000. The route tree rejects
 /// such a pair.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
--- a/crates/dillmill-core/src/store_selection.rs
+++ b/crates/dillmill-core/src/store_selection.rs
@@ -1,9 +1,10 @@
-//! Which processes talk to the platform's store.
+//! Selects the processes that use the platform's store.
 //!
-//! Its rates grow more slowly than the fleet and each call is paid for, so the number of processes that
-//! talk to it is fixed. Everybody else hears from them. The same rule gives the same answer everywhere
-//! without a message: the lowest hashes among the processes that the store does not turn away. One that
-//! dies or is turned away says so, or falls silent, and the next takes its place.
+//! The store's rate limits grow more slowly than the fleet and each call is paid for, so the number of
+//! processes that use the store is fixed; all others get its content from them. Every process applies the
+//! same rule and needs no messages to agree: the processes with the lowest hashes among those that the
+//! store does not reject are selected. If one of them dies or is rejected, its record says so or it stops
+//! answering, and the next process replaces it.
 
 use std::time::Duration;
 
@@ -11,23 +12,24 @@
 
 use crate::{Member, MemberStatus, ProcessId, Role, StoreReach};
 
-/// Processes that keep an entry in the store, through which others join. Enough that some are left when
-/// a third of the fleet is turned away at once.
+/// Number of processes that keep an entry in the store, through which others join. The number is large
+/// enough that some remain if the store rejects a third of the fleet at once.
 pub const REGISTERED_PROCESSES: usize = 6;
-/// Keepers that watch the configuration besides.
+/// Number of the registered processes that also watch the configuration.
 pub const WATCHERS: usize = 3;
-/// A process that the store has turned away may be asked to try again after this time.
+/// Time after which a process that the store has rejected may be selected to try again.
 pub const RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// Returns whether `me` is among the `n` that talk to the store.
+/// Returns whether `me` is among the `n` processes selected to use the store.
 ///
-/// Agents come before balancers, which run on thin VMs. When the store answers nobody, the first go on
-/// asking, so that its return is noticed.
+/// Agents are preferred to balancers, which run on small VMs. If fewer than `n` processes can reach the
+/// store, those that it rejects are considered as well. Even when it answers nobody, some processes thus
+/// keep calling it and notice its return.
 ///
 /// ```
-/// use dillmill_core::store_duty;
+/// use dillmill_core::store_selection;
 ///
-/// assert!(store_duty::WATCHERS < store_duty::KEEPERS);
+/// assert!(store_selection::WATCHERS < store_selection::REGISTERED_PROCESSES);
 /// ```
 #[must_use]
 pub fn is_selected<'a>(
@@ -36,8 +38,8 @@
     n: usize,
 ) -> bool {
     let alive = members.filter(|m| m.status < MemberStatus::Suspect);
-    let able = alive.clone().filter(|m| m.store != StoreReach::Fails);
-    if able.clone().count() >= n { is_first(me, able, n) } else { is_first(me, alive, n) }
+    let reachable = alive.clone().filter(|m| m.store != StoreReach::Fails);
+    if reachable.clone().count() >= n { is_first(me, reachable, n) } else { is_first(me, alive, n) }
 }
 
 fn is_first<'a>(
@@ -48,6 +50,6 @@
     let rank =
         |m: &Member| (m.role == Role::Balancer, xxh3_64(&m.process.0.to_le_bytes()), m.process);
     let Some(mine) = members.clone().find(|m| m.process == me).map(rank) else { return false };
-    // Most processes have found enough others before them after a few.
+    // Most processes find `n` others that rank before them within the first few records.
     members.by_ref().filter(|m| rank(m) < mine).take(n).count() < n
 }
--- a/crates/dillmill-core/src/timestamp.rs
+++ b/crates/dillmill-core/src/timestamp.rs
@@ -1,4 +1,4 @@
-//! Points in time as arguments of decisions.
+//! Points in time, which are passed to decisions as arguments.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -8,8 +8,8 @@
 
 /// Microseconds since the Unix epoch, taken at start and advanced by the monotonic clock.
 ///
-/// Within a process it never goes back. Between processes it orders a time line for a human reader; a decision that
-/// compares the times of two processes says what clocks may differ by.
+/// Within a process it never goes backwards. Between processes it orders events for a human reader. Code
+/// that decides by comparing the times of two processes states how far their clocks may differ.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,13 +17,13 @@
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// Returns a time of `ms` milliseconds after the epoch.
+    /// Returns the time `ms` milliseconds after the Unix epoch.
     #[must_use]
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms * 1000)
     }
 
-    /// Returns the time that has passed since `earlier`, or zero.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/crates/dillmill-core/src/watcher_selection.rs
+++ b/crates/dillmill-core/src/watcher_selection.rs
@@ -1,9 +1,9 @@
-//! Which processes hold a watch at the platform.
+//! Selects the processes that hold a watch at the platform.
 //!
-//! A waiting watch counts as a call, and the platform's rates grow more slowly than the fleet. So
-//! the number of watchers is fixed: in each term the processes with the lowest hashes watch, and
-//! all others hear from them. No message is needed for that; a watcher that dies is replaced as
-//! soon as the others hold it for down, and meanwhile the rest watch.
+//! A waiting watch counts as a call, and the platform's rate limits grow more slowly than the fleet. The
+//! number of watchers is therefore fixed: in each term, the processes with the lowest hashes watch, and
+//! all others get the changes from them. This needs no messages. A watcher that dies is replaced as soon
+//! as the other processes have declared it down; until then the remaining watchers continue.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 
 use crate::{ProcessId, Timestamp};
 
-/// Watches that the whole fleet holds unless set otherwise.
+/// Default number of watches held by the whole fleet.
 pub const WATCHERS: usize = 24;
-/// How long the same processes watch.
+/// Duration of a term, after which other processes are selected.
 pub const TERM: Duration = Duration::from_secs(20);
 
 /// Returns whether `me` is among the `watchers` processes that watch in the term of `now`.
@@ -21,12 +21,12 @@
 /// `others` are the processes not known to be down.
 ///
 /// ```
-/// use dillmill_core::{ProcessId, Timestamp, watch_duty::watches};
+/// use dillmill_core::{ProcessId, Timestamp, watcher_selection::is_watcher};
 ///
 /// let all: Vec<ProcessId> = (1..=100).map(ProcessId).collect();
 /// let watching = all
 ///     .iter()
-///     .filter(|me| watches(**me, all.iter().copied(), 5, Timestamp::default()))
+///     .filter(|me| is_watcher(**me, all.iter().copied(), 5, Timestamp::default()))
 ///     .count();
 /// assert_eq!(watching, 5);
 /// ```
