--- a/crates/dillmill-agent/src/chain.rs
+++ b/crates/dillmill-agent/src/chain.rs
@@ -128,8 +128,8 @@
     }
 }
 
-fn ask_for(cx: &AgentContext, req: &Request) -> scheduler::Ask {
-    scheduler::Ask {
+fn ask_for(cx: &AgentContext, req: &Request) -> scheduler::SchedulingRequest {
+    scheduler::SchedulingRequest {
         id: cx.next_request(),
         group: req.group.clone(),
         weight: req.limits.weight,
--- a/crates/dillmill-agent/src/desk.rs
+++ b/crates/dillmill-agent/src/desk.rs
@@ -8,7 +8,7 @@
 use dillmill_core::claims::RingMember;
 use dillmill_core::placement::{LoadReport, Place, Policy, Siblings};
 use dillmill_core::retry_budget::RetryBudget;
-use dillmill_core::scheduler::{Ask, Offer, Refusal, RequestId, Scheduler};
+use dillmill_core::scheduler::{Offer, Refusal, RequestId, Scheduler, SchedulingRequest};
 use dillmill_core::{MemberStatus, Percent, ServiceName, Slots, TargetPace, Timestamp, warm_up};
 use dillmill_node::{NodeHandle, View, Views, with_draw};
 use dillmill_wire::Message;
@@ -30,7 +30,7 @@
 }
 
 enum Input {
-    Offer { ask: Ask, tx: flume::Sender<Admission> },
+    Offer { ask: SchedulingRequest, tx: flume::Sender<Admission> },
     Finish(RequestId),
     Place { policy: Policy, elsewhere: bool, tx: flume::Sender<Option<RingMember>> },
     FirstTry,
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// Says why it was refused and when to come back.
-    pub async fn admit(&self, ask: Ask) -> Result<Slot, (Refusal, Duration)> {
+    pub async fn admit(&self, ask: SchedulingRequest) -> Result<Slot, (Refusal, Duration)> {
         let (tx, rx) = flume::bounded(1);
         let slot = Slot { id: ask.id, tx: self.tx.clone() };
         let _ = self.tx.send(Input::Offer { ask, tx });
@@ -234,7 +234,7 @@
         }
     }
 
-    fn offer(&mut self, ask: &Ask, tx: flume::Sender<Admission>, now: Timestamp) {
+    fn offer(&mut self, ask: &SchedulingRequest, tx: flume::Sender<Admission>, now: Timestamp) {
         match self.scheduler.offer(ask, now) {
             Offer::Run => {
                 let _ = tx.send(Admission::Run);
@@ -290,7 +290,7 @@
             .map(|m| RingMember { process: m.process, control: m.control })
             .collect();
         let away = view.members().filter(|m| m.status != MemberStatus::Serving);
-        self.siblings.set_away(away.map(|m| m.process));
+        self.siblings.set_unavailable(away.map(|m| m.process));
         let report = self.report();
         for new in self.sibling_addrs.iter().filter(|m| !before.contains(m)) {
             self.handle.send(new.control, Message::Load(report));
--- a/crates/dillmill-core/src/answer_norms.rs
+++ b/crates/dillmill-core/src/answer_norms.rs
@@ -31,9 +31,9 @@
     /// It is like the others, or too little is known.
     Usual,
     /// It came much sooner and is much shorter.
-    Odd {
+    Outlier {
         /// How many of them in a row show a fault of the target.
-        row: u32,
+        threshold: u32,
     },
 }
 
@@ -56,7 +56,7 @@
     }
 
     /// Returns the shortest row of answers out of line that does not come by chance.
-    fn row(&self) -> u32 {
+    fn threshold(&self) -> u32 {
         let by_chance = |n: &u32| self.odd.powi(n.cast_signed()) >= CHANCE;
         ROW.take_while(by_chance).last().map_or(*ROW.start(), |n| n + 1)
     }
@@ -78,9 +78,9 @@
         let first = Norm { answers: 0, took, len, odd: 0.0 };
         let norm = self.routes.entry(route).or_insert(first);
         let odd = norm.answers >= ENOUGH && took * PART < norm.took && len * PART < norm.len;
-        let row = norm.row();
+        let threshold = norm.threshold();
         norm.odd += (f64::from(u8::from(odd)) - norm.odd) * RATE_SHARE;
         norm.blend(took, len, if odd { ODD_SHARE } else { USUAL_SHARE });
-        if odd { AnswerKind::Odd { row } } else { AnswerKind::Usual }
+        if odd { AnswerKind::Outlier { threshold } } else { AnswerKind::Usual }
     }
 }
--- a/crates/dillmill-core/src/patience.rs
+++ b/crates/dillmill-core/src/attempt_timeout.rs
@@ -10,7 +10,7 @@
 
 /// A caller waits at most 1.4 s for the answer to its opening packet (the platform's page on flows); the rest is for
 /// the ways to the target, back to the caller, and from it to the target once more.
-pub const LONGEST: Duration = Duration::from_millis(1400 - WAYS_MS);
+pub const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1400 - WAYS_MS);
 const WAYS_MS: u64 = 40;
 /// Tries among which callers spread the time of a request that may be repeated: a first one and two retries (the
 /// sheets of the users' kinds of request).
@@ -33,12 +33,12 @@
 
 /// What became of opening packets after their waits.
 #[derive(Debug, Clone, Default)]
-pub struct Patience {
+pub struct AttemptTimeoutEstimator {
     steps: [Outcomes; STEPS],
     halved: Timestamp,
 }
 
-impl Patience {
+impl AttemptTimeoutEstimator {
     /// Notes that a caller opened its flow, or did not, when its opening packet was taken after `waited`.
     pub fn note(&mut self, waited: Duration, opened: bool, now: Timestamp) {
         self.halve_if_due(now);
@@ -60,7 +60,7 @@
         let there = |step: &Outcomes| step.opened >= ENOUGH && step.opened > step.gone;
         let gone_from = self.steps.iter().position(gone).unwrap_or(STEPS);
         let there_until = self.steps[..gone_from].iter().rposition(there).map_or(0, |i| i + 1);
-        assumed.max(wait(there_until)).min(wait(gone_from)).min(LONGEST)
+        assumed.max(wait(there_until)).min(wait(gone_from)).min(MAX_ATTEMPT_TIMEOUT)
     }
 
     fn halve_if_due(&mut self, now: Timestamp) {
@@ -78,9 +78,9 @@
 /// Returns how long callers of a route wait that gives a request `timeout`, as far as can be told before any was seen.
 #[must_use]
 pub fn assumed(timeout: Option<Duration>, repeatable: bool) -> Duration {
-    let Some(timeout) = timeout else { return LONGEST };
+    let Some(timeout) = timeout else { return MAX_ATTEMPT_TIMEOUT };
     let one_try = if repeatable { timeout / TRIES } else { timeout };
-    one_try.saturating_sub(Duration::from_millis(WAYS_MS)).min(LONGEST)
+    one_try.saturating_sub(Duration::from_millis(WAYS_MS)).min(MAX_ATTEMPT_TIMEOUT)
 }
 
 fn wait(steps: usize) -> Duration {
--- a/crates/dillmill-core/src/cold_start.rs
+++ b/crates/dillmill-core/src/cold_start.rs
@@ -20,7 +20,7 @@
     /// The target is cold until then.
     until: Option<Timestamp>,
     /// When it got its latest requests, as far as they are within the span.
-    got: VecDeque<Timestamp>,
+    received: VecDeque<Timestamp>,
 }
 
 impl ColdStart {
@@ -32,11 +32,11 @@
     /// Another run of the target has begun, which has got nothing and has said nothing yet.
     pub fn restart(&mut self) {
         self.until = None;
-        self.got.clear();
+        self.received.clear();
     }
 
     /// Sets how much longer the target is cold.
-    pub fn set_left(&mut self, left: Duration, now: Timestamp) {
+    pub fn set_remaining(&mut self, left: Duration, now: Timestamp) {
         self.until = (!left.is_zero()).then(|| now + left);
     }
 
@@ -53,19 +53,19 @@
     }
 
     /// Returns the requests that the target has got within the last second.
-    pub fn got(&mut self, now: Timestamp) -> u32 {
+    pub fn received(&mut self, now: Timestamp) -> u32 {
         self.forget(now);
-        u32::try_from(self.got.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.received.len()).unwrap_or(u32::MAX)
     }
 
     /// Notes that the target gets a request, or a flow that is about to bring one.
     pub fn note(&mut self, now: Timestamp) {
-        let Some(limit) = self.limit(now) else { return self.got.clear() };
+        let Some(limit) = self.limit(now) else { return self.received.clear() };
         self.forget(now);
         // More of them than the limit only come over flows that are open already.
         let most = usize::try_from(limit).unwrap_or(usize::MAX).saturating_mul(4);
-        if self.got.len() < most {
-            self.got.push_back(now);
+        if self.received.len() < most {
+            self.received.push_back(now);
         }
     }
 
@@ -74,13 +74,13 @@
     pub fn room(&mut self, now: Timestamp) -> bool {
         let Some(limit) = self.limit(now) else { return true };
         self.forget(now);
-        self.got.len() < usize::try_from(limit).unwrap_or(usize::MAX)
+        self.received.len() < usize::try_from(limit).unwrap_or(usize::MAX)
     }
 
     /// Forgets what is no longer within the span.
     fn forget(&mut self, now: Timestamp) {
-        while self.got.front().is_some_and(|at| now.since(*at) >= SPAN) {
-            self.got.pop_front();
+        while self.received.front().is_some_and(|at| now.since(*at) >= SPAN) {
+            self.received.pop_front();
         }
     }
 }
--- a/crates/dillmill-core/src/flow_gate.rs
+++ b/crates/dillmill-core/src/flow_gate.rs
@@ -181,7 +181,7 @@
             .cloned()
             .flatten();
         self.flows.heard();
-        let ended = self.flows.given_back(&seg.flow);
+        let ended = self.flows.remove_returned(&seg.flow);
         self.not_held.insert(seg.flow, (), now);
         match (ended, trial) {
             (Some(caller_expects), _) => Verdict::Ended { caller_expects },
--- a/crates/dillmill-core/src/flow_gate/finding.rs
+++ b/crates/dillmill-core/src/flow_gate/finding.rs
@@ -9,7 +9,7 @@
 use crate::FlowCoverage;
 use crate::envelope::{Envelope, PacketPurpose, Search, SearchPlace, SearchScope};
 use crate::segment::SegmentKind;
-use crate::target_flows::Fit;
+use crate::target_flows::FlowMatch;
 
 /// Search steps allowed beyond the number of agents. A search visits each agent once, except for
 /// directories, so this limit only stops a search that goes wrong.
@@ -40,7 +40,7 @@
     pub(super) fn find_now(&mut self, arrival: Arrival<'_>, lookup: Lookup) -> Verdict {
         let Arrival { seg, env, context, now } = arrival;
         let fit = self.flows.note_caller(seg, self.slots, now);
-        if let Fit::Ours { further } = fit {
+        if let FlowMatch::Held { further } = fit {
             if further {
                 self.cold.note(now);
             }
@@ -53,7 +53,7 @@
         let told = context.settled && context.told;
         let told = told && context.agents.is_directory(&seg.flow, self.me);
         let lookup = if told { lookup.mark_told() } else { lookup };
-        let may_hold = fit == Fit::Unknown
+        let may_hold = fit == FlowMatch::Unknown
             && self.coverage(now) == FlowCoverage::Partial
             && self.not_held.peek(&seg.flow).is_none()
             && arrival.services().contains(&self.service);
--- a/crates/dillmill-core/src/flow_gate/opening.rs
+++ b/crates/dillmill-core/src/flow_gate/opening.rs
@@ -10,7 +10,7 @@
 use crate::open_queue::{WaitTerms, wait_limit};
 use crate::route_table::RouteTable;
 use crate::segment::Segment;
-use crate::{ProcessId, ServiceTag, Timestamp, patience};
+use crate::{ProcessId, ServiceTag, Timestamp, attempt_timeout};
 
 /// Number of agents that may pass an opening packet on; the next one must decide.
 pub(super) const MAX_PLACE_HOPS: usize = 3;
@@ -119,10 +119,10 @@
     pub(super) fn wait_terms(&self, arrival: Arrival<'_>, copies: u32) -> WaitTerms {
         let route = arrival.context.routes.get(arrival.seg.flow.route());
         let (timeout, repeatable) = route.map_or((None, false), |r| (r.timeout, r.repeatable));
-        let patience = patience::assumed(timeout, repeatable);
+        let attempt_timeout = attempt_timeout::assumed(timeout, repeatable);
         WaitTerms::new(copies, self.time_limit(arrival), arrival.now)
-            .patience(patience)
-            .timeout(timeout.unwrap_or(patience))
+            .attempt_timeout(attempt_timeout)
+            .timeout(timeout.unwrap_or(attempt_timeout))
     }
 
     /// Returns how long a request may wait so that its answer still comes within the latency aim of
--- a/crates/dillmill-core/src/flow_gate/target.rs
+++ b/crates/dillmill-core/src/flow_gate/target.rs
@@ -74,7 +74,7 @@
 
     /// Sets how much longer the target is slow because it has just started.
     pub fn set_cold(&mut self, left: Duration, now: Timestamp) {
-        self.cold.set_left(left, now);
+        self.cold.set_remaining(left, now);
     }
 
     /// Sets how many requests a second a target of the service can take just after its start.
@@ -106,7 +106,7 @@
         if taken_back {
             // An idle target may have turned cold since its last heartbeat, so it is treated as
             // cold until new heartbeats must have come.
-            self.cold.set_left(self.heartbeat_every.mul_f64(MISSED_HEARTBEATS), now);
+            self.cold.set_remaining(self.heartbeat_every.mul_f64(MISSED_HEARTBEATS), now);
         }
     }
 
@@ -169,8 +169,8 @@
     /// Returns the target's time for a request and, while it is cold, its limit and present load.
     pub fn pace(&mut self, now: Timestamp) -> TargetPace {
         let waiting = u32::try_from(self.opens.len()).unwrap_or(u32::MAX);
-        let got = self.cold.got(now).saturating_add(waiting);
-        let cold = self.cold.limit(now).map(|limit| ColdLoad { limit, got });
+        let received = self.cold.received(now).saturating_add(waiting);
+        let cold = self.cold.limit(now).map(|limit| ColdLoad { limit, received });
         TargetPace { work: self.flows.work(), cold }
     }
 
--- a/crates/dillmill-core/src/flow_gate/waiting.rs
+++ b/crates/dillmill-core/src/flow_gate/waiting.rs
@@ -39,8 +39,8 @@
 
     /// Returns how long the caller of `flow` waits for an answer to an opening packet.
     #[must_use]
-    pub fn patience(&self, flow: &FlowTuple, terms: &WaitTerms, now: Timestamp) -> Duration {
-        self.opens.patience(flow, terms, now)
+    pub fn attempt_timeout(&self, flow: &FlowTuple, terms: &WaitTerms, now: Timestamp) -> Duration {
+        self.opens.attempt_timeout(flow, terms, now)
     }
 
     /// Removes the opening packet of `flow` from the queue, as the packet has been handled
@@ -51,9 +51,9 @@
 
     /// Removes the opening packets that have waited too long to be served; returns them with the
     /// verdicts for their callers.
-    pub fn take_lost(&mut self, now: Timestamp) -> Vec<(WaitingOpen, Verdict)> {
+    pub fn take_abandoned(&mut self, now: Timestamp) -> Vec<(WaitingOpen, Verdict)> {
         // A caller that waits on an open flow sends its request again by itself.
-        let lost = self.opens.take_lost(now).into_iter().filter(|open| !open.terms.open_flow);
+        let lost = self.opens.take_abandoned(now).into_iter().filter(|open| !open.terms.open_flow);
         lost.map(|open| self.refused(open)).collect()
     }
 
--- a/crates/dillmill-core/src/flow_placement.rs
+++ b/crates/dillmill-core/src/flow_placement.rs
@@ -11,7 +11,7 @@
 use crate::agent_table::{AgentEntry, AgentTable};
 use crate::flow_volume::FlowVolume;
 use crate::placement::LoadReport;
-use crate::target_flows::FIRST_WORK;
+use crate::target_flows::INITIAL_SERVICE_TIME;
 use crate::{FlowTuple, ProcessId, ServiceTag, Timestamp};
 
 /// Time without a report after which an agent is silent and gets new flows only when the others are
@@ -97,7 +97,7 @@
             load.report = report;
             load.sent = 0;
             load.unanswered = None;
-            let typical = self.typical_work.entry(load.service).or_insert(FIRST_WORK);
+            let typical = self.typical_work.entry(load.service).or_insert(INITIAL_SERVICE_TIME);
             match report.pace.work {
                 Duration::ZERO => {}
                 work if work > *typical => *typical += *typical / TYPICAL_STEP_DIVISOR,
@@ -196,7 +196,7 @@
 
     /// Returns the typical time that a request takes at the targets of `service`.
     fn typical_work_of(&self, service: ServiceTag) -> Duration {
-        self.typical_work.get(&service).copied().unwrap_or(FIRST_WORK)
+        self.typical_work.get(&service).copied().unwrap_or(INITIAL_SERVICE_TIME)
     }
 
     fn cost(&self, agent: &AgentEntry, now: Timestamp) -> u32 {
@@ -213,7 +213,7 @@
 /// By its slots alone, a cold target would get as many flows as a warm one.
 fn target_cost(report: &LoadReport, sent: u32, typical_work: Duration) -> u32 {
     if let Some(cold) = report.pace.cold {
-        let until_room = Duration::from_secs(1) * (cold.got + sent) / cold.limit.max(1);
+        let until_room = Duration::from_secs(1) * (cold.received + sent) / cold.limit.max(1);
         return thousandths(until_room, typical_work);
     }
     let slots = u32::from(report.slots.0.max(1));
--- a/crates/dillmill-core/src/lib.rs
+++ b/crates/dillmill-core/src/lib.rs
@@ -11,7 +11,7 @@
 //! | [`agent_table`] | in which order agents are asked for the owner of a flow |
 //! | [`evacuations`] | which data centres are to get no new flows |
 //! | [`open_queue`] | which opening packet comes next at a target with too much to do |
-//! | [`patience`] | how long callers wait for an answer to an opening packet |
+//! | [`attempt_timeout`] | how long callers wait for an answer to an opening packet |
 //! | [`outcomes`] | whether a target that fails requests is set aside |
 //! | [`answer_norms`] | which answers of a target are out of line |
 //! | [`target_runs`] | which run of a target a heartbeat speaks for |
@@ -29,11 +29,12 @@
 //! | [`cold_start`] | how many requests a target gets that has only just started |
 //! | [`warm_up`] | how many slots a target that has just started gets |
 //! | [`watcher_selection`] | which processes hold a watch at the platform |
-//! | [`start_patience`] | how long a process that starts waits for peers before it asks the platform's store |
+//! | [`start_delay`] | how long a process that starts waits for peers before it asks the platform's store |
 //! | [`store_selection`] | which processes keep an entry in the platform's store for others to join through |
 
 pub mod agent_table;
 pub mod answer_norms;
+pub mod attempt_timeout;
 pub mod caller_packets;
 pub mod claims;
 pub mod cold_start;
@@ -61,7 +62,6 @@
 pub mod open_queue;
 pub mod outcomes;
 pub mod owner_cache;
-pub mod patience;
 pub mod pause_detector;
 pub mod pending_searches;
 pub mod placement;
@@ -72,7 +72,7 @@
 pub mod secret;
 pub mod segment;
 pub mod service_tag;
-pub mod start_patience;
+pub mod start_delay;
 pub mod store_selection;
 pub mod target_flows;
 pub mod target_pace;
@@ -98,7 +98,7 @@
 pub use home_table::{Home, HomeTable};
 pub use interval::Interval;
 pub use link_admission::LinkAdmission;
-pub use link_queue::{Admission, Departure, LinkQueue, PacketId};
+pub use link_queue::{Admission, LinkQueue, OutboundDatagram, PacketId};
 pub use link_rate::{LinkRate, LinkRateError};
 pub use member::{FlowCoverage, Member, MemberStatus, Role, StoreReach};
 pub use membership::Membership;
@@ -113,7 +113,7 @@
 pub use secret::Secret;
 pub use segment::{Segment, SegmentKind};
 pub use service_tag::ServiceTag;
-pub use start_patience::StartPatience;
+pub use start_delay::StartDelay;
 pub use target_pace::{ColdLoad, TargetPace};
 pub use target_run::{StartTime, TargetRun};
 pub use target_runs::TargetRuns;
--- a/crates/dillmill-core/src/link_admission.rs
+++ b/crates/dillmill-core/src/link_admission.rs
@@ -253,8 +253,8 @@
     }
 
     /// Returns the opening packets whose callers have gone, or are about to.
-    pub fn take_lost(&mut self, now: Timestamp) -> Vec<WaitingOpen> {
-        self.opens.take_lost(now)
+    pub fn take_abandoned(&mut self, now: Timestamp) -> Vec<WaitingOpen> {
+        self.opens.take_abandoned(now)
     }
 
     /// Returns the number of opening packets that wait.
--- a/crates/dillmill-core/src/link_queue.rs
+++ b/crates/dillmill-core/src/link_queue.rs
@@ -59,7 +59,7 @@
 
 /// A datagram on its way out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Departure {
+pub struct OutboundDatagram {
     /// The flow of the packet in it.
     pub flow: FlowTuple,
     /// Which packet of the flow.
@@ -70,7 +70,7 @@
     pub to: SocketAddrV4,
 }
 
-impl Departure {
+impl OutboundDatagram {
     /// Returns the bytes that it takes on the wire.
     fn size(&self) -> i64 {
         wire_bytes(self.buf.len())
@@ -81,7 +81,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It may leave now.
-    Leave(Departure),
+    Leave(OutboundDatagram),
     /// It waits.
     Wait,
     /// It waits in the place of an earlier copy.
@@ -92,7 +92,7 @@
 
 #[derive(Debug, Default)]
 struct Backlog {
-    packets: VecDeque<Departure>,
+    packets: VecDeque<OutboundDatagram>,
     bytes: i64,
     /// Bytes that the flow may still send in its turn.
     credit: i64,
@@ -131,7 +131,7 @@
     }
 
     /// Takes in a datagram, and returns it if it may leave at once.
-    pub fn offer(&mut self, departure: Departure, now: Timestamp) -> Admission {
+    pub fn offer(&mut self, departure: OutboundDatagram, now: Timestamp) -> Admission {
         let Some(rate) = self.rate else { return Admission::Leave(departure) };
         self.refill(rate, now);
         if self.tokens > 0 && self.is_empty() {
@@ -169,7 +169,7 @@
     }
 
     /// Returns the next datagram, if one waits and may leave now.
-    pub fn take(&mut self, now: Timestamp) -> Option<Departure> {
+    pub fn take(&mut self, now: Timestamp) -> Option<OutboundDatagram> {
         self.refill(self.rate?, now);
         if self.tokens <= 0 {
             return None;
@@ -217,7 +217,7 @@
         }
     }
 
-    fn next(&mut self) -> Option<Departure> {
+    fn next(&mut self) -> Option<OutboundDatagram> {
         loop {
             let from_fresh = !self.fresh.is_empty();
             let turns = if from_fresh { &mut self.fresh } else { &mut self.rest };
--- a/crates/dillmill-core/src/open_queue.rs
+++ b/crates/dillmill-core/src/open_queue.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use crate::patience::{LONGEST, Patience};
+use crate::attempt_timeout::{AttemptTimeoutEstimator, MAX_ATTEMPT_TIMEOUT};
 use crate::{Envelope, FlowTuple, Timestamp};
 
 /// A packet goes first from this long before its caller may be gone: time for its way and for the callers that are
@@ -65,7 +65,7 @@
     /// Time from then on that it may spend waiting and behind the requests of the target to be answered in time.
     pub limit: Duration,
     /// How long callers of its route are assumed to wait.
-    pub patience: Duration,
+    pub attempt_timeout: Duration,
     /// After what time they give the request up, with all its tries.
     pub timeout: Duration,
     /// Copies of it that have come.
@@ -90,13 +90,20 @@
     #[must_use]
     pub fn new(copies: u32, limit: Duration, now: Timestamp) -> Self {
         let since = waiting_since(copies, now);
-        Self { since, limit, patience: LONGEST, timeout: LONGEST, copies, open_flow: false }
+        Self {
+            since,
+            limit,
+            attempt_timeout: MAX_ATTEMPT_TIMEOUT,
+            timeout: MAX_ATTEMPT_TIMEOUT,
+            copies,
+            open_flow: false,
+        }
     }
 
     /// Sets how long callers of the route are assumed to wait.
     #[must_use]
-    pub fn patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn attempt_timeout(mut self, attempt_timeout: Duration) -> Self {
+        self.attempt_timeout = attempt_timeout;
         self
     }
 
@@ -120,16 +127,16 @@
         now.since(self.since) + ahead <= self.limit
     }
 
-    /// Returns how the packet stands at an agent that has run for `age`, if callers wait for `patience`.
-    fn standing(&self, patience: Duration, age: Duration, now: Timestamp) -> Standing {
+    /// Returns how the packet stands at an agent that has run for `age`, if callers wait for `attempt_timeout`.
+    fn standing(&self, attempt_timeout: Duration, age: Duration, now: Timestamp) -> Standing {
         let waited = now.since(self.since);
         if self.open_flow {
-            let gone = waited + URGENT_WITHIN >= self.patience;
+            let gone = waited + URGENT_WITHIN >= self.attempt_timeout;
             return if gone { Standing::Doubtful } else { Standing::Waiting };
         }
-        let last_try = age < self.timeout && OUTAGE + age + patience >= self.timeout;
-        let ends = waited + URGENT_WITHIN >= patience && last_try;
-        if waited >= patience || self.copy_is_missing(waited) {
+        let last_try = age < self.timeout && OUTAGE + age + attempt_timeout >= self.timeout;
+        let ends = waited + URGENT_WITHIN >= attempt_timeout && last_try;
+        if waited >= attempt_timeout || self.copy_is_missing(waited) {
             Standing::Doubtful
         } else if ends {
             Standing::Urgent
@@ -163,14 +170,14 @@
     waiting: Vec<WaitingOpen>,
     started: Timestamp,
     /// How long the callers of each route wait.
-    patience: HashMap<SocketAddrV4, Patience>,
+    attempt_timeout: HashMap<SocketAddrV4, AttemptTimeoutEstimator>,
 }
 
 impl OpenQueue {
     /// Creates the queue of an agent that starts at `now`.
     #[must_use]
     pub fn new(now: Timestamp) -> Self {
-        Self { waiting: Vec::new(), started: now, patience: HashMap::new() }
+        Self { waiting: Vec::new(), started: now, attempt_timeout: HashMap::new() }
     }
 
     /// Returns whether the opening packet of `flow` waits here.
@@ -208,19 +215,19 @@
         opened: bool,
         now: Timestamp,
     ) {
-        self.patience.entry(route).or_default().note(waited, opened, now);
+        self.attempt_timeout.entry(route).or_default().note(waited, opened, now);
     }
 
     /// Returns how long the caller of `flow` waits for the answer to its opening packet.
     #[must_use]
-    pub fn patience(&self, flow: &FlowTuple, terms: &WaitTerms, now: Timestamp) -> Duration {
-        let learned = self.patience.get(&flow.route());
-        learned.map_or(terms.patience, |learned| learned.refine(terms.patience, now))
+    pub fn attempt_timeout(&self, flow: &FlowTuple, terms: &WaitTerms, now: Timestamp) -> Duration {
+        let learned = self.attempt_timeout.get(&flow.route());
+        learned.map_or(terms.attempt_timeout, |learned| learned.refine(terms.attempt_timeout, now))
     }
 
     fn standing(&self, open: &WaitingOpen, now: Timestamp) -> Standing {
-        let patience = self.patience(&open.flow, &open.terms, now);
-        open.terms.standing(patience, now.since(self.started), now)
+        let attempt_timeout = self.attempt_timeout(&open.flow, &open.terms, now);
+        open.terms.standing(attempt_timeout, now.since(self.started), now)
     }
 
     /// Forgets the opening packet of `flow`: a copy of it has gone another way.
@@ -251,8 +258,9 @@
     fn soonest(&self, standing: Standing, now: Timestamp) -> Option<usize> {
         let all = self.waiting.iter().enumerate();
         let such = all.filter(|(_, open)| self.standing(open, now) == standing);
-        let patience = |open: &WaitingOpen| self.patience(&open.flow, &open.terms, now);
-        let gone = |open: &WaitingOpen| open.terms.since + patience(open);
+        let attempt_timeout =
+            |open: &WaitingOpen| self.attempt_timeout(&open.flow, &open.terms, now);
+        let gone = |open: &WaitingOpen| open.terms.since + attempt_timeout(open);
         such.min_by_key(|(_, open)| gone(open)).map(|(i, _)| i)
     }
 
@@ -267,10 +275,10 @@
     }
 
     /// Returns the packets whose callers have gone for certain, or are about to before an answer could reach them.
-    pub fn take_lost(&mut self, now: Timestamp) -> Vec<WaitingOpen> {
+    pub fn take_abandoned(&mut self, now: Timestamp) -> Vec<WaitingOpen> {
         let lost = |open: &mut WaitingOpen| {
             let terms = &open.terms;
-            let longest = if terms.open_flow { terms.patience } else { LONGEST };
+            let longest = if terms.open_flow { terms.attempt_timeout } else { MAX_ATTEMPT_TIMEOUT };
             now.since(terms.since) >= longest
         };
         self.waiting.extract_if(.., lost).collect()
--- a/crates/dillmill-core/src/outcomes.rs
+++ b/crates/dillmill-core/src/outcomes.rs
@@ -49,27 +49,27 @@
     }
 
     /// Notes that the target has reset a flow on which a request waited for its answer.
-    pub fn break_off(&mut self, now: Timestamp) {
+    pub fn request_reset(&mut self, now: Timestamp) {
         self.fail(FAILURES, now);
     }
 
-    /// Notes an answer that is out of line; `row` of them, one after the other, show a fault.
-    pub fn odd_answer(&mut self, row: u32, now: Timestamp) {
-        self.fail(row, now);
+    /// Notes an answer that is out of line; `threshold` of them, one after the other, show a fault.
+    pub fn outlier_answer(&mut self, threshold: u32, now: Timestamp) {
+        self.fail(threshold, now);
     }
 
-    fn fail(&mut self, row: u32, now: Timestamp) {
+    fn fail(&mut self, threshold: u32, now: Timestamp) {
         if self.failing(now) {
             // Given to it before it was set aside.
             return;
         }
         self.answered = 0;
         self.failed += 1;
-        if self.failed >= row {
+        if self.failed >= threshold {
             self.aside_until = Some(now + self.rest);
             self.rest = (self.rest * 2).min(LONGEST_REST);
             // The next request tells whether it has recovered.
-            self.failed = row - 1;
+            self.failed = threshold - 1;
         }
     }
 
--- a/crates/dillmill-core/src/placement.rs
+++ b/crates/dillmill-core/src/placement.rs
@@ -59,7 +59,7 @@
     /// Returns whether the target has something else to do than `before`. How long a request takes there changes with each
     /// answer, and alone is not worth a message.
     #[must_use]
-    pub fn tells_more_than(&self, before: &Self) -> bool {
+    pub fn differs_notably_from(&self, before: &Self) -> bool {
         let work = before.pace.work;
         let pace = TargetPace { work, ..self.pace };
         Self { pace, ..*self } != *before
@@ -113,7 +113,7 @@
     /// Says which processes leave or are silent, in place of those named before.
     ///
     /// One that leaves reports its load until it is done; nothing new goes there meanwhile.
-    pub fn set_away(&mut self, away: impl IntoIterator<Item = ProcessId>) {
+    pub fn set_unavailable(&mut self, away: impl IntoIterator<Item = ProcessId>) {
         self.away = away.into_iter().collect();
         self.known.retain(|process, _| !self.away.contains(process));
     }
--- a/crates/dillmill-core/src/scheduler.rs
+++ b/crates/dillmill-core/src/scheduler.rs
@@ -29,7 +29,7 @@
 
 /// What a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct SchedulingRequest {
     /// The request.
     pub id: RequestId,
     /// Whose it is.
@@ -178,7 +178,7 @@
     }
 
     /// Takes, queues or refuses a request.
-    pub fn offer(&mut self, ask: &Ask, now: Timestamp) -> Offer {
+    pub fn offer(&mut self, ask: &SchedulingRequest, now: Timestamp) -> Offer {
         let retry_after = self.drain_time(&ask.group);
         if self.closed || self.slots.0 == 0 {
             return Offer::Refuse(Refusal::Closed, retry_after);
--- a/crates/dillmill-core/src/start_patience.rs
+++ b/crates/dillmill-core/src/start_delay.rs
@@ -12,7 +12,7 @@
 
 /// A wait of `base` and more, of which each process draws its own share.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StartPatience {
+pub struct StartDelay {
     /// The least.
     pub base: Duration,
     /// How much longer the last of a small fleet waits.
@@ -21,7 +21,7 @@
     pub per_process: Duration,
 }
 
-impl StartPatience {
+impl StartDelay {
     /// Returns how long the process waits that has drawn `share`, from 0 to 1; `size` is 0 where it is not known.
     #[must_use]
     pub fn of(&self, share: f64, size: FleetSize) -> Duration {
--- a/crates/dillmill-core/src/target_flows.rs
+++ b/crates/dillmill-core/src/target_flows.rs
@@ -30,7 +30,7 @@
 /// The same at the least: pauses of the target and its agent.
 const OVERDUE_MIN: Duration = Duration::from_millis(250);
 /// Work of a request before any was seen.
-pub const FIRST_WORK: Duration = Duration::from_millis(50);
+pub const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(50);
 /// Weight of a new observation of the work: some ten requests settle it.
 const WORK_SHARE: u32 = 8;
 
@@ -63,9 +63,9 @@
 
 /// Whether a packet of a caller belongs to the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fit {
+pub enum FlowMatch {
     /// The target holds the flow.
-    Ours {
+    Held {
         /// The packet begins a request, and is not the first to do so.
         further: bool,
     },
@@ -77,7 +77,7 @@
 
 /// What follows from a packet of the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct FromTarget {
+pub struct TargetPacketEffect {
     /// The flow is new, so that the directory must learn of it.
     pub new: bool,
     /// How long the request took whose answer begins.
@@ -114,7 +114,7 @@
     fn default() -> Self {
         Self {
             flows: GenerationCache::new(FLOW_LIFETIME, CAPACITY),
-            work: FIRST_WORK,
+            work: INITIAL_SERVICE_TIME,
             outcomes: Outcomes::default(),
             norms: AnswerNorms::default(),
             unheard: None,
@@ -153,17 +153,17 @@
     }
 
     /// Takes in a packet of the caller and says whether it belongs to the target, which has `slots`.
-    pub fn note_caller(&mut self, seg: &Segment, slots: u16, now: Timestamp) -> Fit {
+    pub fn note_caller(&mut self, seg: &Segment, slots: u16, now: Timestamp) -> FlowMatch {
         // Looking at all flows costs: only the first packet of a request needs it.
         let begins = |flow: &TargetFlow| seg.len > 0 && flow.request.is_none();
         let unqueued = self.flows.peek(&seg.flow).is_some_and(begins)
             && self.load(now).requests <= u32::from(slots);
-        let Some(flow) = self.flows.get_mut(&seg.flow, now) else { return Fit::Unknown };
+        let Some(flow) = self.flows.get_mut(&seg.flow, now) else { return FlowMatch::Unknown };
         if flow.stage == Stage::Opening {
             let near =
                 flow.target_seq.is_some_and(|seq| seg.ack.wrapping_sub(seq) <= FIRST_ACK_WINDOW);
             if !near {
-                return Fit::Other;
+                return FlowMatch::Other;
             }
             flow.stage = Stage::Open;
         }
@@ -183,7 +183,7 @@
             }
             _ => {}
         }
-        Fit::Ours { further }
+        FlowMatch::Held { further }
     }
 
     /// Returns whether anything is known of `flow`.
@@ -233,11 +233,11 @@
     }
 
     /// Takes in a packet of the target.
-    pub fn note_target(&mut self, seg: &Segment, now: Timestamp) -> FromTarget {
+    pub fn note_target(&mut self, seg: &Segment, now: Timestamp) -> TargetPacketEffect {
         self.heard();
         let Some(flow) = self.flows.get_mut(&seg.flow, now) else {
             if seg.kind == SegmentKind::Reset {
-                return FromTarget { stray_reset: true, ..FromTarget::default() };
+                return TargetPacketEffect { stray_reset: true, ..TargetPacketEffect::default() };
             }
             let accept = seg.kind == SegmentKind::Accept;
             let learned = TargetFlow {
@@ -251,17 +251,17 @@
                 overdue: false,
             };
             self.flows.insert(seg.flow, learned, now);
-            return FromTarget { new: true, ..FromTarget::default() };
+            return TargetPacketEffect { new: true, ..TargetPacketEffect::default() };
         };
         let stray_reset = seg.kind == SegmentKind::Reset && flow.stage == Stage::Opening;
         if seg.kind == SegmentKind::Reset && flow.stage == Stage::Open && flow.request.is_some() {
-            self.outcomes.break_off(now);
+            self.outcomes.request_reset(now);
         }
         match seg.kind {
             SegmentKind::Accept => {
                 let fresh = flow.target_seq != Some(seg.seq);
                 flow.target_seq = Some(seg.seq);
-                return FromTarget { new: fresh, ..FromTarget::default() };
+                return TargetPacketEffect { new: fresh, ..TargetPacketEffect::default() };
             }
             SegmentKind::Finish | SegmentKind::Reset => flow.stage = Stage::Closed,
             _ => {}
@@ -272,13 +272,13 @@
             self.last_answer = now;
             match self.norms.note(seg.flow.route(), took, seg.len) {
                 AnswerKind::Usual => self.outcomes.answer(),
-                AnswerKind::Odd { row } => self.outcomes.odd_answer(row, now),
+                AnswerKind::Outlier { threshold } => self.outcomes.outlier_answer(threshold, now),
             }
         }
         if let Some(took) = answered.filter(|_| flow.unqueued) {
             self.work = (self.work * (WORK_SHARE - 1) + took) / WORK_SHARE;
         }
-        FromTarget { new: false, answered, stray_reset }
+        TargetPacketEffect { new: false, answered, stray_reset }
     }
 
     /// Returns the time that the target takes for a request that does not wait.
@@ -291,7 +291,7 @@
     ///
     /// Returns the number of the byte that the caller expects next, if the flow was open here: it has ended
     /// with an earlier run of the target.
-    pub fn given_back(&mut self, flow: &FlowTuple) -> Option<u32> {
+    pub fn remove_returned(&mut self, flow: &FlowTuple) -> Option<u32> {
         let known = self.flows.remove(flow)?;
         (known.stage == Stage::Open).then_some(known.caller_expects)
     }
@@ -300,7 +300,7 @@
     ///
     /// Flows taken before `ended` went with that run, and are forgotten. Returns those of them that were open.
     pub fn new_run(&mut self, ended: Option<Timestamp>) -> Vec<EndedFlow> {
-        self.work = FIRST_WORK;
+        self.work = INITIAL_SERVICE_TIME;
         self.outcomes = Outcomes::default();
         self.norms = AnswerNorms::default();
         self.last_answer = Timestamp::default();
@@ -309,7 +309,7 @@
         let gone: Vec<FlowTuple> =
             self.flows.iter().filter(|(_, f)| f.taken < ended).map(|(flow, _)| *flow).collect();
         let ended = |flow: FlowTuple| {
-            let caller_expects = self.given_back(&flow)?;
+            let caller_expects = self.remove_returned(&flow)?;
             Some(EndedFlow { flow, caller_expects })
         };
         gone.into_iter().filter_map(ended).collect()
--- a/crates/dillmill-core/src/target_pace.rs
+++ b/crates/dillmill-core/src/target_pace.rs
@@ -10,7 +10,7 @@
     /// Requests a second that it carries.
     pub limit: u32,
     /// Requests that it has got within the last second, and those that wait for it.
-    pub got: u32,
+    pub received: u32,
 }
 
 /// How fast a target works.
--- a/crates/dillmill-core/src/target_runs.rs
+++ b/crates/dillmill-core/src/target_runs.rs
@@ -13,7 +13,7 @@
 
 /// Heartbeats that a target which has only just started may have sent before one comes through: it tries some
 /// times more when the first ones fail.
-pub const FIRST_HEARTBEATS: u64 = 5;
+pub const STARTUP_HEARTBEATS: u64 = 5;
 /// A run that has missed two heartbeats, and half an interval for the delay of the next, may be over.
 const HEARTBEATS_MISSED: f64 = 2.5;
 /// Heartbeats that were held up arrive together; those of a living run come at least this part of an interval
@@ -123,11 +123,11 @@
             self.remember(Run::new(run, number, Some(now), now));
             return HeartbeatOutcome::Late;
         }
-        if order.is_none() && current_speaks && number > FIRST_HEARTBEATS {
+        if order.is_none() && current_speaks && number > STARTUP_HEARTBEATS {
             return HeartbeatOutcome::Late;
         }
         // Only a run that has just started proves that its predecessor's flows are over.
-        let ended = order == Some(true) && number <= FIRST_HEARTBEATS;
+        let ended = order == Some(true) && number <= STARTUP_HEARTBEATS;
         let predecessor = match &self.current {
             None => Predecessor::None,
             Some(current) if ended => Predecessor::Ended { lived: current.heard },
--- a/crates/dillmill-core/tests/answer_norms.rs
+++ b/crates/dillmill-core/tests/answer_norms.rs
@@ -71,14 +71,14 @@
 #[test]
 fn usual_oddness_needs_longer_rows() {
     let mut norms = AnswerNorms::default();
-    let mut row = 0;
+    let mut threshold = 0;
     for i in 0..4000 {
         let (took, len) = if i % 4 == 0 { (2, 100) } else { (work(i), 700) };
-        if let AnswerKind::Odd { row: needed } = norms.note(route(443), ms(took), len) {
-            row = needed;
+        if let AnswerKind::Outlier { threshold: needed } = norms.note(route(443), ms(took), len) {
+            threshold = needed;
         }
     }
-    assert!(row >= 6, "{row}");
+    assert!(threshold >= 6, "{threshold}");
 }
 
 struct Target {
--- a/crates/dillmill-core/tests/cold_starts.rs
+++ b/crates/dillmill-core/tests/cold_starts.rs
@@ -33,19 +33,19 @@
     fn no_span_exceeds(rate in 1_u32..30, gaps in prop::collection::vec(0_u64..90, 1..300)) {
         let mut cold = ColdStart::default();
         cold.set_rate(Some(rate));
-        cold.set_left(Duration::from_mins(1), START);
+        cold.set_remaining(Duration::from_mins(1), START);
         let mut now = START;
-        let mut got = VecDeque::new();
+        let mut received = VecDeque::new();
         for gap in gaps {
             now = now + ms(gap);
             if cold.room(now) {
                 cold.note(now);
-                got.push_back(now);
+                received.push_back(now);
             }
-            while got.front().is_some_and(|at| now.since(*at) >= ms(1000)) {
-                got.pop_front();
+            while received.front().is_some_and(|at| now.since(*at) >= ms(1000)) {
+                received.pop_front();
             }
-            prop_assert!(got.len() <= rate as usize);
+            prop_assert!(received.len() <= rate as usize);
         }
     }
 }
@@ -60,14 +60,14 @@
             room
         })
     };
-    cold.set_left(ms(2000), START);
+    cold.set_remaining(ms(2000), START);
     assert!(room(&mut cold, START), "nothing is told of the service");
     cold.set_rate(Some(10));
     assert!(!room(&mut cold, START));
     assert!(room(&mut cold, START + ms(2000)), "warm by now");
-    cold.set_left(ms(500), START + ms(3000));
+    cold.set_remaining(ms(500), START + ms(3000));
     assert!(!room(&mut cold, START + ms(3000)), "cold again");
-    cold.set_left(Duration::ZERO, START + ms(3100));
+    cold.set_remaining(Duration::ZERO, START + ms(3100));
     assert!(room(&mut cold, START + ms(3100)), "warm by its own word");
 }
 
@@ -243,7 +243,7 @@
         }
         counts
     };
-    let busy = Some(ColdLoad { limit: 10, got: 8 });
+    let busy = Some(ColdLoad { limit: 10, received: 8 });
     assert_eq!(share([busy, busy, None]), [0, 0, 60], "the far one answers sooner");
     let counts = share([busy, busy, busy]);
     assert!(counts[0] > 20 && counts[1] > 20, "{counts:?}");
@@ -280,7 +280,7 @@
     rate: usize,
     cold_until: Timestamp,
     back: Timestamp,
-    got: VecDeque<Timestamp>,
+    received: VecDeque<Timestamp>,
     running: BTreeMap<u16, Timestamp>,
     queue: VecDeque<u16>,
     fell_over: u32,
@@ -288,19 +288,27 @@
 
 impl Target {
     fn new(rate: usize) -> Self {
-        let (got, running, queue) = Default::default();
-        Self { rate, cold_until: START + ms(2000), back: START, got, running, queue, fell_over: 0 }
+        let (received, running, queue) = Default::default();
+        Self {
+            rate,
+            cold_until: START + ms(2000),
+            back: START,
+            received,
+            running,
+            queue,
+            fell_over: 0,
+        }
     }
 
     fn take(&mut self, port: u16, now: Timestamp) {
         if now < self.back {
             return;
         }
-        self.got.push_back(now);
-        while self.got.front().is_some_and(|at| now.since(*at) >= ms(1000)) {
-            self.got.pop_front();
+        self.received.push_back(now);
+        while self.received.front().is_some_and(|at| now.since(*at) >= ms(1000)) {
+            self.received.pop_front();
         }
-        if now < self.cold_until && self.got.len() > self.rate + self.rate / 2 + 5 {
+        if now < self.cold_until && self.received.len() > self.rate + self.rate / 2 + 5 {
             self.fell_over += 1;
             self.back = now + ms(1500);
             self.cold_until = self.back + ms(2000);
--- a/crates/dillmill-core/tests/fair_shares.rs
+++ b/crates/dillmill-core/tests/fair_shares.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use dillmill_core::scheduler::{Ask, Offer, Refusal, RequestId, Scheduler, Sharing};
+use dillmill_core::scheduler::{Offer, Refusal, RequestId, Scheduler, SchedulingRequest, Sharing};
 use dillmill_core::{GroupName, Slots, Timestamp, Weight};
 use rstest::rstest;
 
@@ -13,8 +13,8 @@
     name.parse().unwrap()
 }
 
-fn ask(id: u64, name: &str, weight: u16, now: Timestamp) -> Ask {
-    Ask {
+fn ask(id: u64, name: &str, weight: u16, now: Timestamp) -> SchedulingRequest {
+    SchedulingRequest {
         id: RequestId(id),
         group: group(name),
         weight: Weight(weight),
@@ -144,7 +144,8 @@
     let now = Timestamp::from_millis(1000);
     assert_eq!(scheduler.offer(&ask(1, "a", 1, now), now), Offer::Run);
     assert_eq!(scheduler.offer(&ask(2, "a", 1, now), now), Offer::Wait);
-    let urgent = Ask { deadline: now + Duration::from_secs(1), ..ask(3, "a", 1, now) };
+    let urgent =
+        SchedulingRequest { deadline: now + Duration::from_secs(1), ..ask(3, "a", 1, now) };
     assert_eq!(scheduler.offer(&urgent, now), Offer::Wait);
     assert_eq!(scheduler.finish(RequestId(1), now), vec![RequestId(3)]);
 }
@@ -154,7 +155,8 @@
     let mut scheduler = Scheduler::new(Slots(1));
     let now = Timestamp::from_millis(1000);
     scheduler.offer(&ask(1, "a", 1, now), now);
-    let hopeless = Ask { deadline: now + Duration::from_millis(5), ..ask(2, "a", 1, now) };
+    let hopeless =
+        SchedulingRequest { deadline: now + Duration::from_millis(5), ..ask(2, "a", 1, now) };
     let Offer::Refuse(refusal, after) = scheduler.offer(&hopeless, now) else {
         panic!("taken");
     };
@@ -166,7 +168,7 @@
 fn full_queue_refuses() {
     let mut scheduler = Scheduler::new(Slots(1));
     let now = Timestamp::from_millis(1000);
-    let short = |id| Ask { max_queue: 1, ..ask(id, "a", 1, now) };
+    let short = |id| SchedulingRequest { max_queue: 1, ..ask(id, "a", 1, now) };
     assert_eq!(scheduler.offer(&short(1), now), Offer::Run);
     assert_eq!(scheduler.offer(&short(2), now), Offer::Wait);
     assert!(matches!(scheduler.offer(&short(3), now), Offer::Refuse(Refusal::QueueFull, _)));
--- a/crates/dillmill-core/tests/link_admissions.rs
+++ b/crates/dillmill-core/tests/link_admissions.rs
@@ -7,7 +7,7 @@
 use dillmill_core::link_queue::wire_bytes;
 use dillmill_core::open_queue::WaitingOpen;
 use dillmill_core::{
-    Admission, Departure, Envelope, FlowTuple, LinkAdmission, LinkQueue, LinkRate, PacketId,
+    Admission, Envelope, FlowTuple, LinkAdmission, LinkQueue, LinkRate, OutboundDatagram, PacketId,
     PacketPurpose, Revision, Segment, SegmentKind, ServiceTag, Timestamp,
 };
 use rstest::rstest;
@@ -41,9 +41,9 @@
     Segment { flow, kind, seq, ack: 0, len, returned: false, mark: 0 }
 }
 
-fn departure(seg: &Segment) -> Departure {
+fn departure(seg: &Segment) -> OutboundDatagram {
     let buf = vec![0; usize::from(seg.len) + 74];
-    Departure { flow: seg.flow, packet: PacketId::from(seg), buf, to: AGENT }
+    OutboundDatagram { flow: seg.flow, packet: PacketId::from(seg), buf, to: AGENT }
 }
 
 fn waiting(flow: FlowTuple, now: Timestamp) -> WaitingOpen {
@@ -105,7 +105,7 @@
         }
     }
 
-    fn link(&mut self, departure: &Departure, now: Timestamp) {
+    fn link(&mut self, departure: &OutboundDatagram, now: Timestamp) {
         if self.link_free.since(now) > Duration::from_millis(50) {
             self.lost += 1;
             return;
@@ -232,7 +232,7 @@
     }
 
     fn open_waiting(&mut self, ms: u64) {
-        for open in self.balancer.admission.take_lost(at(ms)) {
+        for open in self.balancer.admission.take_abandoned(at(ms)) {
             self.by_flow.remove(&open.flow);
         }
         let queued = self.balancer.queue.bytes();
@@ -413,10 +413,11 @@
             assert_eq!(ended, i + 1 == PACKETS, "packet {i}");
         }
     }
-    assert!(admission.take_lost(at(20)).is_empty());
+    assert!(admission.take_abandoned(at(20)).is_empty());
     assert_eq!(admission.next(0, at(20)).map(|open| open.flow), Some(flow(102, 443)));
     admission.wait(waiting(flow(103, 443), at(20)));
-    let lost: Vec<_> = admission.take_lost(at(1400)).into_iter().map(|open| open.flow).collect();
+    let lost: Vec<_> =
+        admission.take_abandoned(at(1400)).into_iter().map(|open| open.flow).collect();
     assert_eq!(lost, [flow(103, 443)]);
     assert_eq!(admission.waiting(), 0);
 }
--- a/crates/dillmill-core/tests/link_queues.rs
+++ b/crates/dillmill-core/tests/link_queues.rs
@@ -9,7 +9,8 @@
 
 use dillmill_core::link_queue::wire_bytes;
 use dillmill_core::{
-    Admission, Departure, FlowTuple, LinkQueue, LinkRate, PacketId, Segment, SegmentKind, Timestamp,
+    Admission, FlowTuple, LinkQueue, LinkRate, OutboundDatagram, PacketId, Segment, SegmentKind,
+    Timestamp,
 };
 use rstest::rstest;
 
@@ -33,20 +34,20 @@
     FlowTuple::new(caller, "198.18.0.1:443".parse().expect("an address"))
 }
 
-fn packet(n: u16, kind: SegmentKind, seq: u32, len: usize) -> Departure {
+fn packet(n: u16, kind: SegmentKind, seq: u32, len: usize) -> OutboundDatagram {
     let data = u16::try_from(len.saturating_sub(SMALL)).expect("a short packet");
     let seg = Segment { flow: flow(n), kind, seq, ack: 0, len: data, returned: false, mark: 0 };
-    Departure { flow: flow(n), packet: PacketId::from(&seg), buf: vec![0; len], to: AGENT }
+    OutboundDatagram { flow: flow(n), packet: PacketId::from(&seg), buf: vec![0; len], to: AGENT }
 }
 
-fn data(n: u16, seq: u32) -> Departure {
+fn data(n: u16, seq: u32) -> OutboundDatagram {
     packet(n, SegmentKind::Data, seq, FULL)
 }
 
 /// A link that holds 50 ms of its rate and drops what comes on top.
 struct ThinLink {
     rate: LinkRate,
-    holds: VecDeque<(Timestamp, Departure)>,
+    holds: VecDeque<(Timestamp, OutboundDatagram)>,
     free_at: Timestamp,
     dropped: usize,
 }
@@ -56,7 +57,7 @@
         Self { rate, holds: VecDeque::new(), free_at: START, dropped: 0 }
     }
 
-    fn take(&mut self, departure: Departure, now: Timestamp) {
+    fn take(&mut self, departure: OutboundDatagram, now: Timestamp) {
         if self.free_at.since(now) > Duration::from_millis(50) {
             self.dropped += 1;
             return;
@@ -70,9 +71,9 @@
 /// Plays packets that are offered at given times, and returns when each has passed the link, with those that it dropped.
 fn play(
     rate: LinkRate,
-    offers: Vec<(Timestamp, Departure)>,
+    offers: Vec<(Timestamp, OutboundDatagram)>,
     until: Timestamp,
-) -> (Vec<(Timestamp, Departure)>, usize) {
+) -> (Vec<(Timestamp, OutboundDatagram)>, usize) {
     let mut queue = LinkQueue::new(Some(rate), START);
     let mut link = ThinLink::new(rate);
     let mut offers = VecDeque::from(offers);
--- a/crates/dillmill-core/tests/open_queues.rs
+++ b/crates/dillmill-core/tests/open_queues.rs
@@ -111,8 +111,8 @@
     let terms = WaitTerms::new(0, LIMIT, START);
     let caller = flow(1).caller();
     let other = FlowTuple::new(caller, "198.18.0.2:443".parse().unwrap());
-    assert_eq!(queue.patience(&other, &terms, START), Duration::from_millis(1360));
-    assert_eq!(queue.patience(&flow(1), &terms, START), Duration::from_millis(800));
+    assert_eq!(queue.attempt_timeout(&other, &terms, START), Duration::from_millis(1360));
+    assert_eq!(queue.attempt_timeout(&flow(1), &terms, START), Duration::from_millis(800));
 }
 
 /// A caller that is there sends copies after 200 and 600 ms.
@@ -167,9 +167,9 @@
 #[test]
 fn expired_ones_leave() {
     let mut queue = queue(&[(1, 0), (2, 100)]);
-    assert_eq!(queue.take_lost(at(1300)), []);
+    assert_eq!(queue.take_abandoned(at(1300)), []);
     let expired: Vec<FlowTuple> =
-        queue.take_lost(at(1370)).into_iter().map(|open| open.flow).collect();
+        queue.take_abandoned(at(1370)).into_iter().map(|open| open.flow).collect();
     assert_eq!(expired, [flow(1)]);
     assert!(queue.contains(&flow(2)));
 }
--- a/crates/dillmill-core/tests/patiences.rs
+++ b/crates/dillmill-core/tests/patiences.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dillmill_core::Timestamp;
-use dillmill_core::patience::{Patience, assumed};
+use dillmill_core::attempt_timeout::{AttemptTimeoutEstimator, assumed};
 use rstest::rstest;
 
 const NOW: Timestamp = Timestamp::from_millis(1_000_000);
@@ -12,12 +12,12 @@
     Duration::from_millis(n)
 }
 
-fn noted(outcomes: &[(u64, bool)]) -> Patience {
-    let mut patience = Patience::default();
+fn noted(outcomes: &[(u64, bool)]) -> AttemptTimeoutEstimator {
+    let mut attempt_timeout = AttemptTimeoutEstimator::default();
     for (waited, opened) in outcomes {
-        patience.note(ms(*waited), *opened, NOW);
+        attempt_timeout.note(ms(*waited), *opened, NOW);
     }
-    patience
+    attempt_timeout
 }
 
 const ASSUMED: Duration = ms(1360);
@@ -38,7 +38,7 @@
 
 #[test]
 fn nothing_learned_at_first() {
-    assert_eq!(Patience::default().refine(ASSUMED, NOW), ASSUMED);
+    assert_eq!(AttemptTimeoutEstimator::default().refine(ASSUMED, NOW), ASSUMED);
     assert_eq!(noted(&[(10, true), (700, true), (1300, true)]).refine(ASSUMED, NOW), ASSUMED);
 }
 
@@ -71,8 +71,8 @@
 /// What is no longer tried is tried again after a while.
 #[test]
 fn old_losses_fade() {
-    let mut patience = noted(&[(840, false), (850, false), (860, false)]);
-    assert_eq!(patience.refine(ASSUMED, NOW), ms(800));
-    patience.note(ms(10), true, NOW + ms(2100));
-    assert_eq!(patience.refine(ASSUMED, NOW + ms(2100)), ASSUMED);
+    let mut attempt_timeout = noted(&[(840, false), (850, false), (860, false)]);
+    assert_eq!(attempt_timeout.refine(ASSUMED, NOW), ms(800));
+    attempt_timeout.note(ms(10), true, NOW + ms(2100));
+    assert_eq!(attempt_timeout.refine(ASSUMED, NOW + ms(2100)), ASSUMED);
 }
--- a/crates/dillmill-core/tests/request_placement.rs
+++ b/crates/dillmill-core/tests/request_placement.rs
@@ -80,11 +80,11 @@
 fn leaving_sibling_avoided() {
     let mut siblings = siblings(&[report(2, 5, 0, 0)]);
     let own = report(1, 5, 5, 0);
-    siblings.set_away([ProcessId(2)]);
+    siblings.set_unavailable([ProcessId(2)]);
     siblings.report(report(2, 5, 0, 0), SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7000), NOW);
     assert_eq!(siblings.place(Policy::LocalFirst, own, NOW, &mut |_| 0), Place::Here);
 
-    siblings.set_away([]);
+    siblings.set_unavailable([]);
     siblings.report(report(2, 5, 0, 0), SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7000), NOW);
     assert_ne!(siblings.place(Policy::LocalFirst, own, NOW, &mut |_| 0), Place::Here);
 }
--- a/crates/dillmill-core/tests/start_patiences.rs
+++ b/crates/dillmill-core/tests/start_patiences.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use dillmill_core::StartPatience;
+use dillmill_core::StartDelay;
 use dillmill_core::membership::FleetSize;
 use rstest::rstest;
 
 const MS: Duration = Duration::from_millis(1);
 
-fn patience() -> StartPatience {
-    StartPatience { base: MS * 30, spread: MS * 120, per_process: MS * 3 / 2 }
+fn patience() -> StartDelay {
+    StartDelay { base: MS * 30, spread: MS * 120, per_process: MS * 3 / 2 }
 }
 
 fn shares(n: u32) -> impl Iterator<Item = f64> {
--- a/crates/dillmill-core/tests/target_outcomes.rs
+++ b/crates/dillmill-core/tests/target_outcomes.rs
@@ -13,7 +13,7 @@
 
 fn failed(outcomes: &mut Outcomes, times: u32, now: Timestamp) {
     for _ in 0..times {
-        outcomes.break_off(now);
+        outcomes.request_reset(now);
     }
 }
 
@@ -83,13 +83,13 @@
 fn odd_answers_in_a_row() {
     let mut outcomes = Outcomes::default();
     for _ in 0..4 {
-        outcomes.odd_answer(5, START);
+        outcomes.outlier_answer(5, START);
     }
     outcomes.answer();
     for _ in 0..4 {
-        outcomes.odd_answer(5, START);
+        outcomes.outlier_answer(5, START);
     }
     assert!(!outcomes.failing(START), "a usual one lies between");
-    outcomes.odd_answer(5, START);
+    outcomes.outlier_answer(5, START);
     assert!(outcomes.failing(START));
 }
--- a/crates/dillmill-flow/src/agent_task.rs
+++ b/crates/dillmill-flow/src/agent_task.rs
@@ -57,7 +57,7 @@
 
 enum Event {
     FromNetwork(Vec<u8>),
-    FromTarget(Vec<u8>),
+    TargetPacketEffect(Vec<u8>),
     Flow(SocketAddrV4, FlowMessage),
     Call(EndpointCall),
     Stop(StopRequest),
@@ -191,7 +191,7 @@
     ) {
         let mut events = stream::select_all([
             datagrams(self.packets.clone()).map(Event::FromNetwork).boxed_local(),
-            datagrams(self.outbound.clone()).map(Event::FromTarget).boxed_local(),
+            datagrams(self.outbound.clone()).map(Event::TargetPacketEffect).boxed_local(),
             flows.into_stream().map(|(from, m)| Event::Flow(from, m)).boxed_local(),
             calls.into_stream().map(Event::Call).boxed_local(),
             stops.into_stream().map(Event::Stop).boxed_local(),
@@ -214,7 +214,7 @@
                     self.handle_network_packet(buf, now).await;
                     self.serve_queue(now).await;
                 }
-                Event::FromTarget(buf) => self.handle_target_packet(buf, now).await,
+                Event::TargetPacketEffect(buf) => self.handle_target_packet(buf, now).await,
                 Event::Flow(from, message) => self.handle_flow_message(from, message, now),
                 Event::Call(call) => self.handle_call(call, now).await,
                 Event::Stop(request) => self.stop(request, now),
--- a/crates/dillmill-flow/src/agent_task/heartbeats.rs
+++ b/crates/dillmill-flow/src/agent_task/heartbeats.rs
@@ -5,7 +5,7 @@
 
 use dillmill_core::flow_gate::{RunChange, TargetPresence, TargetStanding};
 use dillmill_core::target_flows::EndedFlow;
-use dillmill_core::target_runs::{FIRST_HEARTBEATS, HeartbeatOutcome, Predecessor};
+use dillmill_core::target_runs::{HeartbeatOutcome, Predecessor, STARTUP_HEARTBEATS};
 use dillmill_core::{EventKind, FlowTuple, MemberStatus, ServiceTag, TargetRun, Timestamp};
 use dillmill_node::TrafficKind;
 use dillmill_platform::endpoint::CallOutcome;
@@ -166,11 +166,11 @@
         // with it.
         let first = predecessor == Predecessor::None;
         let is_new = heartbeat.number <= 1
-            || heartbeat.number <= FIRST_HEARTBEATS && run.started_with(self.handle.started);
+            || heartbeat.number <= STARTUP_HEARTBEATS && run.started_with(self.handle.started);
         if !first || other_service || is_new {
             return self.gate.new_target(ServiceTag::from(&self.service), predecessor, now);
         }
-        if heartbeat.number > FIRST_HEARTBEATS {
+        if heartbeat.number > STARTUP_HEARTBEATS {
             self.gate.note_older_target();
         }
         RunChange::default()
--- a/crates/dillmill-flow/src/agent_task/packets.rs
+++ b/crates/dillmill-flow/src/agent_task/packets.rs
@@ -4,7 +4,7 @@
 
 use dillmill_core::flow_gate::{GateContext, Verdict};
 use dillmill_core::{
-    Departure, Envelope, FlowTuple, PacketPurpose, Segment, SegmentKind, Timestamp,
+    Envelope, FlowTuple, OutboundDatagram, PacketPurpose, Segment, SegmentKind, Timestamp,
 };
 use dillmill_node::TrafficKind;
 use dillmill_platform::packet::{self, Sender};
@@ -194,20 +194,20 @@
         packet::set_mark(&mut packet, 0);
         let mut buf = Vec::with_capacity(packet.len() + 64);
         seal_envelope(envelope, &packet, &mut buf);
-        let departure = Departure { flow: seg.flow, packet: seg.into(), buf, to };
+        let departure = OutboundDatagram { flow: seg.flow, packet: seg.into(), buf, to };
         self.send_through_uplink(errand_traffic_kind(&envelope.purpose, seg), departure, now).await;
     }
 
     pub(super) async fn send_to_caller(&mut self, seg: &Segment, buf: Vec<u8>, now: Timestamp) {
         let to = self.caller_address(&seg.flow);
-        let departure = Departure { flow: seg.flow, packet: seg.into(), buf, to };
+        let departure = OutboundDatagram { flow: seg.flow, packet: seg.into(), buf, to };
         self.send_through_uplink(traffic_kind(seg), departure, now).await;
     }
 
     pub(super) async fn send_through_uplink(
         &mut self,
         kind: TrafficKind,
-        departure: Departure,
+        departure: OutboundDatagram,
         now: Timestamp,
     ) {
         if let Some(flow) = self.uplink.send(kind, departure, now).await {
--- a/crates/dillmill-flow/src/agent_task/reports.rs
+++ b/crates/dillmill-flow/src/agent_task/reports.rs
@@ -70,7 +70,8 @@
             .filter(|(_, o)| {
                 let age = now.since(o.last_report);
                 o.flow_since_report
-                    || (report.tells_more_than(&o.last_reported) && age >= IDLE_REPORT_INTERVAL)
+                    || (report.differs_notably_from(&o.last_reported)
+                        && age >= IDLE_REPORT_INTERVAL)
             })
             .map(|(balancer, _)| *balancer)
             .collect();
--- a/crates/dillmill-flow/src/agent_task/waiting.rs
+++ b/crates/dillmill-flow/src/agent_task/waiting.rs
@@ -22,10 +22,10 @@
         self.log.flow(now, &seg.flow, "waits", || {
             let (requests, waiting) = (gate.load(now).requests, gate.waiting());
             let waited = format_millis(now.since(terms.since));
-            let patience = format_millis(gate.patience(&seg.flow, &terms, now));
+            let attempt_timeout = format_millis(gate.attempt_timeout(&seg.flow, &terms, now));
             format!(
                 "{requests} requests at the target, {waiting} wait, has waited {waited}, \
-                 callers wait {patience}"
+                 callers wait {attempt_timeout}"
             )
         });
         let open = WaitingOpen { flow: seg.flow, packet, envelope, terms };
@@ -47,7 +47,7 @@
     /// Handles the queued packets whose turn has come, or passes all of them on when the target takes no
     /// new flows.
     pub(super) async fn serve_queue(&mut self, now: Timestamp) {
-        for (open, verdict) in self.gate.take_lost(now) {
+        for (open, verdict) in self.gate.take_abandoned(now) {
             self.refuse(&open.flow, &verdict, now);
         }
         while let Some(open) = self.gate.next_waiting(now) {
--- a/crates/dillmill-flow/src/balancer_task.rs
+++ b/crates/dillmill-flow/src/balancer_task.rs
@@ -10,8 +10,8 @@
 use dillmill_core::owner_cache::{MISSING_CONFIRM_DELAY, MISSING_CONFIRM_DELAY_AT_START};
 use dillmill_core::placement::LoadReport;
 use dillmill_core::{
-    AgentTable, Departure, EarlyPacket, EarlyPackets, Envelope, EventKind, FlowPlacement,
-    FlowTuple, LinkAdmission, Owner, OwnerCache, PacketId, PacketPurpose, PauseDetector,
+    AgentTable, EarlyPacket, EarlyPackets, Envelope, EventKind, FlowPlacement, FlowTuple,
+    LinkAdmission, OutboundDatagram, Owner, OwnerCache, PacketId, PacketPurpose, PauseDetector,
     PendingSearches, RouteTable, SearchScope, Segment, SegmentKind, ServiceTag, Timestamp,
     ZoneName,
 };
@@ -320,7 +320,7 @@
         };
         let mut buf = Vec::with_capacity(packet.len() + 48);
         seal_envelope(&self.envelope(service, purpose), packet, &mut buf);
-        let departure = Departure { flow: seg.flow, packet: seg.into(), buf, to };
+        let departure = OutboundDatagram { flow: seg.flow, packet: seg.into(), buf, to };
         if let Some(flow) = self.uplink.send(kind, departure, now).await {
             self.log.flow(now, &flow, "dropped", || "link queue is full".to_owned());
         }
--- a/crates/dillmill-flow/src/balancer_task/opening.rs
+++ b/crates/dillmill-flow/src/balancer_task/opening.rs
@@ -2,7 +2,8 @@
 
 use dillmill_core::open_queue::WaitingOpen;
 use dillmill_core::{
-    LinkAdmission, Owner, PacketPurpose, RouteEntry, Segment, ServiceTag, Timestamp, patience,
+    LinkAdmission, Owner, PacketPurpose, RouteEntry, Segment, ServiceTag, Timestamp,
+    attempt_timeout,
 };
 use dillmill_platform::packet::{self, Sender};
 
@@ -26,10 +27,10 @@
         if copies > 0 && self.owners.get(&seg.flow, now).is_some() {
             return true;
         }
-        let patience = patience::assumed(route.timeout, route.repeatable);
+        let attempt_timeout = attempt_timeout::assumed(route.timeout, route.repeatable);
         let terms = LinkAdmission::terms(copies, route.latency_aim, now)
-            .patience(patience)
-            .timeout(route.timeout.unwrap_or(patience));
+            .attempt_timeout(attempt_timeout)
+            .timeout(route.timeout.unwrap_or(attempt_timeout));
         if self.admission.admits(seg.flow.route(), &terms, self.uplink.queued(), now) {
             return true;
         }
@@ -50,7 +51,7 @@
     /// Refuses the queued flows whose callers have given up or are about to, and opens those whose turn has
     /// come.
     pub(super) async fn open_queued(&mut self, now: Timestamp) {
-        for open in self.admission.take_lost(now) {
+        for open in self.admission.take_abandoned(now) {
             self.counters.refused.inc();
             self.log.flow(now, &open.flow, "refused", || "waited for the link in vain".to_owned());
             self.reset(&open.flow, 0).await;
--- a/crates/dillmill-flow/src/operator_watch.rs
+++ b/crates/dillmill-flow/src/operator_watch.rs
@@ -10,7 +10,7 @@
 
 use dillmill_core::membership::{FleetSize, StoredSize};
 use dillmill_core::{
-    Evacuations, EventKind, Revision, StartPatience, StoreReach, Timestamp, store_selection,
+    Evacuations, EventKind, Revision, StartDelay, StoreReach, Timestamp, store_selection,
 };
 use dillmill_node::{Node, NodeHandle, View, Views};
 use dillmill_platform::store_protocol::Changes;
@@ -32,13 +32,13 @@
 /// How long a starting process waits for its peers' routes before it reads the store. When all processes
 /// start at once, the few seeds through which the others join read the store, and pass the routes on
 /// before most others would read it.
-const PEER_WAIT: StartPatience = StartPatience {
+const PEER_WAIT: StartDelay = StartDelay {
     base: Duration::from_millis(100),
     spread: Duration::from_millis(300),
     per_process: Duration::from_micros(1500),
 };
 /// The same while no seed has answered: the seeds may start last.
-const PEER_WAIT_ALONE: StartPatience = StartPatience {
+const PEER_WAIT_ALONE: StartDelay = StartDelay {
     base: Duration::from_millis(30),
     spread: Duration::from_millis(120),
     per_process: Duration::from_micros(1500),
--- a/crates/dillmill-flow/src/session.rs
+++ b/crates/dillmill-flow/src/session.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use dillmill_core::membership::{FleetSize, StoredSize};
-use dillmill_core::{EventKind, StartPatience, StoreReach, Timestamp, store_selection};
+use dillmill_core::{EventKind, StartDelay, StoreReach, Timestamp, store_selection};
 use dillmill_node::{Node, NodeHandle, View, Views};
 use dillmill_platform::{CommitOutcome, Freshness, LeaseId, ProcessSettings, Store};
 use error_stack::Report;
@@ -37,7 +37,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(800);
 /// How long a process tries the seed addresses in its settings before it looks for peers in the store.
 /// When everything starts at once, one of the seeds has started by then for nearly all processes.
-const SEED_WAIT: StartPatience = StartPatience {
+const SEED_WAIT: StartDelay = StartDelay {
     base: Duration::from_millis(120),
     spread: Duration::ZERO,
     per_process: Duration::from_micros(500),
--- a/crates/dillmill-flow/src/uplink.rs
+++ b/crates/dillmill-flow/src/uplink.rs
@@ -4,7 +4,7 @@
 
 use compio::net::UdpSocket;
 use dillmill_core::{
-    Admission, Departure, FlowTuple, LinkQueue, LinkRate, Segment, SegmentKind, Timestamp,
+    Admission, FlowTuple, LinkQueue, LinkRate, OutboundDatagram, Segment, SegmentKind, Timestamp,
 };
 use dillmill_node::{Metrics, NodeError, Traffic, TrafficKind};
 use prometheus::{IntCounter, IntGauge};
@@ -79,7 +79,7 @@
     pub async fn send(
         &mut self,
         kind: TrafficKind,
-        departure: Departure,
+        departure: OutboundDatagram,
         now: Timestamp,
     ) -> Option<FlowTuple> {
         let len = departure.buf.len();
@@ -131,7 +131,7 @@
         self.arm_timer();
     }
 
-    async fn transmit(&self, departure: Departure) {
+    async fn transmit(&self, departure: OutboundDatagram) {
         if !sockets::send(&self.socket, departure.buf, departure.to).await {
             self.counters.failed.inc();
         }
--- a/crates/dillmill-standins/src/slopes.rs
+++ b/crates/dillmill-standins/src/slopes.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use dillmill_core::claims::{ClaimKey, ClaimLedger, Ring, RingMember};
-use dillmill_core::scheduler::{Ask, Offer, RequestId, Scheduler, Sharing};
+use dillmill_core::scheduler::{Offer, RequestId, Scheduler, SchedulingRequest, Sharing};
 use dillmill_core::{
     FlowId, FlowKey, FlowKeys, GroupName, Home, HomeTable, Member, Membership, ProcessId, Role,
     Secret, ServiceNumber, Slots, Timestamp, Weight,
@@ -215,7 +215,7 @@
             .collect::<Result<Vec<_>, _>>()?;
         let each_request = each(50_000, |i| {
             let i = u64::from(i);
-            let ask = Ask {
+            let ask = SchedulingRequest {
                 id: RequestId(i),
                 group: names[usize::try_from(i % groups).unwrap_or(0)].clone(),
                 weight: Weight(10),
@@ -276,7 +276,7 @@
         for (group, _) in offers.iter().filter(|(_, due)| *due) {
             let id = RequestId(u64::try_from(asked.len()).unwrap_or(u64::MAX));
             asked.push((*group == &small, now));
-            let ask = Ask {
+            let ask = SchedulingRequest {
                 id,
                 group: (*group).clone(),
                 weight: Weight(10),
--- a/crates/dillmill-standins/src/waiting.rs
+++ b/crates/dillmill-standins/src/waiting.rs
@@ -12,7 +12,7 @@
 
 use dillmill_core::open_queue::{OpenQueue, WaitTerms, WaitingOpen};
 use dillmill_core::{
-    Envelope, FlowTuple, PacketPurpose, Revision, ServiceTag, Timestamp, patience,
+    Envelope, FlowTuple, PacketPurpose, Revision, ServiceTag, Timestamp, attempt_timeout,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -234,13 +234,13 @@
             return;
         }
         let (repeatable, timeout) = (true, self.trouble.timeout);
-        let assumed = patience::assumed(Some(timeout), repeatable);
+        let assumed = attempt_timeout::assumed(Some(timeout), repeatable);
         let terms = WaitTerms::new(copies, self.trouble.aim / 2, now);
         let open = WaitingOpen {
             flow: flow(n, tries),
             packet: Vec::new(),
             envelope: envelope(),
-            terms: terms.patience(assumed).timeout(timeout),
+            terms: terms.attempt_timeout(assumed).timeout(timeout),
         };
         if self.order == Order::Patience {
             self.queue.push(open);
@@ -251,7 +251,7 @@
 
     fn serve(&mut self, now: Timestamp) {
         if self.order == Order::Patience {
-            self.queue.take_lost(now);
+            self.queue.take_abandoned(now);
         }
         while self.busy < self.trouble.slots {
             let Some((n, tries)) = self.next(now) else { return };
