--- a/crates/dillmill-core/examples/route_first_packet.rs
+++ b/crates/dillmill-core/examples/route_first_packet.rs
@@ -1,4 +1,4 @@
-//! Shows how new flows are divided among agents, and that only a lost agent's share moves.
+//! Shows how new flows are distributed over agents, and that only the share of a removed agent moves.
 //!
 //! Run with `cargo run -p dillmill-core --example route_first_packet`.
 
--- a/crates/dillmill-core/src/answer_norms.rs
+++ b/crates/dillmill-core/src/answer_norms.rs
@@ -1,38 +1,41 @@
-//! What answers of a target are usually like, and which ones are out of line.
+//! Learns what answers of a target usually look like, and detects outliers.
 //!
-//! A target may answer each request at once with an error while its heartbeats and its health are good. Nobody here
-//! reads an answer, but its first packet comes much sooner, and is much shorter, than those of its route usually are.
+//! A target may answer every request at once with an error while its heartbeats and health checks
+//! are good. The load balancer does not read answers, but the first packet of such an answer
+//! arrives much sooner and is much shorter than is usual for its route.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Answers of a route before anything is out of line: with fewer the averages say little.
-const ENOUGH: u32 = 8;
-/// An answer is out of line if both its time and its length are below this part of the usual ones: an error comes soon
-/// and is short, a sound answer is now and then one of the two.
-const PART: u32 = 2;
-/// Weight of a usual answer in the averages.
-const USUAL_SHARE: u32 = 16;
-/// Weight of one that is out of line: a new version that answers sooner and shorter becomes usual after some hundred answers.
-const ODD_SHARE: u32 = 64;
-/// Weight of an answer in the share of those out of line.
-const RATE_SHARE: f64 = 1.0 / 256.0;
-/// A row of answers out of line shows a fault if it comes by chance less often than this: once in some ten thousand answers.
-const CHANCE: f64 = 1e-4;
-/// Shortest and longest row that shows a fault.
-const ROW: std::ops::RangeInclusive<u32> = 3..=20;
-/// Routes that are told apart at most.
-const ROUTES: usize = 256;
+/// Answers of a route before any can be an outlier: with fewer, the averages are not meaningful.
+const MIN_SAMPLES: u32 = 8;
+/// An answer is an outlier if both its time and its length are below the usual ones divided by
+/// this. Errors are both fast and short; a good answer is occasionally one of the two.
+const OUTLIER_DIVISOR: u32 = 2;
+/// Inverse weight of a usual answer in the moving averages.
+const USUAL_SMOOTHING: u32 = 16;
+/// Inverse weight of an outlier in the moving averages. A new version that answers faster and
+/// shorter becomes usual after some hundred answers.
+const OUTLIER_SMOOTHING: u32 = 64;
+/// Weight of an answer in the moving share of outliers.
+const OUTLIER_RATE_WEIGHT: f64 = 1.0 / 256.0;
+/// A run of consecutive outliers indicates a fault if its probability by chance is below this:
+/// once in some ten thousand answers.
+const FALSE_POSITIVE_RATE: f64 = 1e-4;
+/// Shortest and longest run of outliers that indicates a fault.
+const THRESHOLD_RANGE: std::ops::RangeInclusive<u32> = 3..=20;
+/// Maximum number of routes with a baseline of their own.
+const MAX_ROUTES: usize = 256;
 
-/// How an answer compares with the usual ones of its route.
+/// How an answer compares with the usual answers of its route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// It is like the others, or too little is known.
+    /// The answer is like the others, or there are too few to compare with.
     Usual,
-    /// It came much sooner and is much shorter.
+    /// The answer came much sooner and is much shorter.
     Outlier {
-        /// How many of them in a row show a fault of the target.
+        /// Number of consecutive outliers that indicates a fault of the target.
         threshold: u32,
     },
 }
@@ -42,45 +45,49 @@
     answers: u32,
     took: Duration,
     len: u32,
-    /// Share of answers that were out of line.
-    odd: f64,
+    /// Moving share of answers that were outliers.
+    outlier_rate: f64,
 }
 
 impl Norm {
-    fn blend(&mut self, took: Duration, len: u32, share: u32) {
-        // The first answers count alike.
-        let share = share.min(self.answers + 1);
-        self.took = (self.took * (share - 1) + took) / share;
-        self.len = (self.len * (share - 1) + len) / share;
+    fn blend(&mut self, took: Duration, len: u32, smoothing: u32) {
+        // The first answers are averaged with equal weights.
+        let smoothing = smoothing.min(self.answers + 1);
+        self.took = (self.took * (smoothing - 1) + took) / smoothing;
+        self.len = (self.len * (smoothing - 1) + len) / smoothing;
         self.answers = self.answers.saturating_add(1);
     }
 
-    /// Returns the shortest row of answers out of line that does not come by chance.
+    /// Returns the shortest run of outliers that is unlikely to occur by chance.
     fn threshold(&self) -> u32 {
-        let by_chance = |n: &u32| self.odd.powi(n.cast_signed()) >= CHANCE;
-        ROW.take_while(by_chance).last().map_or(*ROW.start(), |n| n + 1)
+        let by_chance = |n: &u32| self.outlier_rate.powi(n.cast_signed()) >= FALSE_POSITIVE_RATE;
+        THRESHOLD_RANGE.take_while(by_chance).last().map_or(*THRESHOLD_RANGE.start(), |n| n + 1)
     }
 }
 
-/// The usual answers of a target, for each route.
+/// Baselines of a target's answers, by route.
 #[derive(Debug, Default)]
 pub struct AnswerNorms {
     routes: HashMap<SocketAddrV4, Norm>,
 }
 
 impl AnswerNorms {
-    /// Takes in an answer of `route` whose first packet came after `took` with `len` bytes.
+    /// Records an answer of `route` whose first packet had `len` bytes and came after `took`, and
+    /// classifies it.
     pub fn note(&mut self, route: SocketAddrV4, took: Duration, len: u16) -> AnswerKind {
         let len = u32::from(len);
-        if self.routes.len() >= ROUTES && !self.routes.contains_key(&route) {
+        if self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(&route) {
             return AnswerKind::Usual;
         }
-        let first = Norm { answers: 0, took, len, odd: 0.0 };
+        let first = Norm { answers: 0, took, len, outlier_rate: 0.0 };
         let norm = self.routes.entry(route).or_insert(first);
-        let odd = norm.answers >= ENOUGH && took * PART < norm.took && len * PART < norm.len;
+        let outlier = norm.answers >= MIN_SAMPLES
+            && took * OUTLIER_DIVISOR < norm.took
+            && len * OUTLIER_DIVISOR < norm.len;
         let threshold = norm.threshold();
-        norm.odd += (f64::from(u8::from(odd)) - norm.odd) * RATE_SHARE;
-        norm.blend(took, len, if odd { ODD_SHARE } else { USUAL_SHARE });
-        if odd { AnswerKind::Outlier { threshold } } else { AnswerKind::Usual }
+        norm.outlier_rate +=
+            (f64::from(u8::from(outlier)) - norm.outlier_rate) * OUTLIER_RATE_WEIGHT;
+        norm.blend(took, len, if outlier { OUTLIER_SMOOTHING } else { USUAL_SMOOTHING });
+        if outlier { AnswerKind::Outlier { threshold } } else { AnswerKind::Usual }
     }
 }
--- a/crates/dillmill-core/src/lib.rs
+++ b/crates/dillmill-core/src/lib.rs
@@ -1,35 +1,35 @@
-//! Types and decisions of dillmill.
+//! Core types and decision logic of dillmill, without any I/O.
 //!
-//! Nothing in this crate opens a socket, reads a clock or draws a random number: the present time
-//! and any randomness are arguments, so that a test or another edge can drive every decision.
+//! Nothing in this crate opens a socket, reads a clock or draws a random number: the current time
+//! and any randomness are arguments, so that tests and other front ends can drive every decision.
 //!
 //! | Module | Decides |
 //! |---|---|
 //! | [`flow_id`] | which agent owns a QUIC connection id |
-//! | [`flow_placement`] | which agent a balancer gives a new packet flow to |
+//! | [`flow_placement`] | which agent a balancer assigns a new packet flow to |
 //! | [`flow_gate`] | what an agent does with a packet: deliver, pass on, search, refuse |
-//! | [`agent_table`] | in which order agents are asked for the owner of a flow |
-//! | [`evacuations`] | which data centres are to get no new flows |
-//! | [`open_queue`] | which opening packet comes next at a target with too much to do |
+//! | [`agent_table`] | in which order agents are queried for the owner of a flow |
+//! | [`evacuations`] | which data centres receive no new flows |
+//! | [`open_queue`] | which opening packet is served next at an overloaded target |
 //! | [`attempt_timeout`] | how long callers wait for an answer to an opening packet |
-//! | [`outcomes`] | whether a target that fails requests is set aside |
-//! | [`answer_norms`] | which answers of a target are out of line |
-//! | [`target_runs`] | which run of a target a heartbeat speaks for |
-//! | [`link_admission`] | which uploads begin, as far as the VM's link carries them |
-//! | [`link_queue`] | which packet leaves next over the VM's link, and when |
-//! | [`pending_searches`] | when a search for an owner that has brought nothing is repeated |
-//! | [`home_table`] | which agent gets the first packet of a flow |
+//! | [`outcomes`] | whether a target that fails requests is ejected for a while |
+//! | [`answer_norms`] | which answers of a target are outliers |
+//! | [`target_runs`] | which run of a target a heartbeat belongs to |
+//! | [`link_admission`] | which uploads are admitted to the VM's link |
+//! | [`link_queue`] | which datagram leaves next over the VM's link, and when |
+//! | [`pending_searches`] | when a search for an owner that had no result is repeated |
+//! | [`home_table`] | which agent receives the first packet of a flow |
 //! | [`membership`] | which processes are serving, leaving, suspect or down |
 //! | [`scheduler`] | which request runs next on a target, and which is refused |
 //! | [`claims`] | whether a request that may not be repeated may be dispatched |
 //! | [`placement`] | which agent of a service runs a request |
-//! | [`directory_catch_up`] | whether an agent has been told of all flows that it is to remember |
-//! | [`registrations`] | when a directory is told of a flow, and told again |
-//! | [`retry_budget`] | whether a request may be tried once more |
-//! | [`cold_start`] | how many requests a target gets that has only just started |
+//! | [`directory_catch_up`] | whether an agent's flow directory is complete |
+//! | [`registrations`] | when a flow is registered with a directory, and registered again |
+//! | [`retry_budget`] | whether a request may be retried |
+//! | [`cold_start`] | how many requests a target that has just started receives |
 //! | [`warm_up`] | how many slots a target that has just started gets |
 //! | [`watcher_selection`] | which processes hold a watch at the platform |
-//! | [`start_delay`] | how long a process that starts waits for peers before it asks the platform's store |
+//! | [`start_delay`] | how long a starting process waits for peers before it queries the platform's store |
 //! | [`store_selection`] | which processes keep an entry in the platform's store for others to join through |
 
 pub mod agent_table;
--- a/crates/dillmill-core/src/link_queue.rs
+++ b/crates/dillmill-core/src/link_queue.rs
@@ -1,16 +1,19 @@
-//! Datagrams that wait for the VM's own link.
+//! Paces and queues the datagrams that a process sends over its VM's link.
 //!
-//! A thin link holds little: of what is sent at once it takes some 50 ms and drops the rest, heartbeats and opening
-//! packets among them. A caller sends 16 packets of an upload at once, and
-//! what is lost comes again only after 200 ms and more. So a process sends no faster than its link takes, and what
-//! can't leave yet waits here:
+//! A slow link buffers little: of a burst it accepts some 50 ms and drops the rest, including
+//! heartbeats and opening packets. A caller sends 16 packets of an upload at once, and lost ones
+//! are retransmitted only after 200 ms or more. A process therefore sends no faster than its link
+//! carries, and queues the rest here:
 //!
-//! * a token bucket says when the next datagram may leave. Messages between processes and resets never wait; they are
-//!   only charged to it, so that the rest makes room for them;
-//! * flows take turns (deficit round robin), and a flow that had nothing waiting goes first, as in `FQ-CoDel`
-//!   (RFC 8290): opening packets, acknowledgements and short requests pass an upload by;
-//! * a copy of a packet that still waits takes its place in the queue: the caller sends again what it takes for lost;
-//! * when too much waits, the flow with the most bytes loses its last packet.
+//! * A token bucket decides when the next datagram may leave. Messages between processes and
+//!   resets never wait, but are charged to the bucket, so that the other traffic makes room for
+//!   them.
+//! * Flows take turns (deficit round robin), and a flow that had nothing queued goes first, as in
+//!   `FQ-CoDel` (RFC 8290): opening packets, acknowledgements and short requests overtake an
+//!   upload.
+//! * A retransmission of a packet that is still queued replaces it, as the caller retransmits
+//!   what it takes for lost.
+//! * When the queue is full, the flow with the most bytes loses its last packet.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -20,26 +23,27 @@
 use crate::segment::{Segment, SegmentKind};
 use crate::{FlowTuple, Timestamp};
 
-/// Part of the link that datagrams may fill, in percent. The rest is for what is not charged: calls to the store,
-/// the platform's questions, heads of TCP.
-const SHARE: u32 = 95;
-/// Time of the link that may leave at once after a pause, well below what a thin link holds. One datagram more may begin
-/// while any of it is left.
-const BURST: Duration = Duration::from_millis(10);
-/// Bytes that a flow may send before the next one's turn: one full datagram.
+/// Percentage of the link that datagrams may use. The rest is for traffic that is not charged:
+/// calls to the store, the platform's requests and TCP headers.
+const USABLE_PERCENT: u32 = 95;
+/// Burst that may leave at once after a pause, as link time, well below what a slow link buffers.
+/// One more datagram may start while any of it is left.
+const BURST_TIME: Duration = Duration::from_millis(10);
+/// Bytes that a flow may send per turn: one full datagram.
 const QUANTUM: i64 = 1300;
-/// Time of the link for which datagrams may wait. A packet that waits for longer has been sent again three times
-/// (after 200, 400 and 800 ms), and its caller slows down by then.
-const WAIT_MAX: Duration = Duration::from_secs(1);
-/// Time of the link for which datagrams that never wait hold up the others. What a link does not take it has dropped, so
-/// that a flood of resets is over for it when it is over, however long it was.
-const DEBT_MAX: Duration = WAIT_MAX;
-/// Bytes that may wait at most, however fast the link is.
-const BYTES_MAX: i64 = 4 * 1024 * 1024;
-/// Shortest sleep until the next datagram may leave: each wake-up costs as much as a packet.
-const WAKE_MIN: Duration = Duration::from_millis(2);
+/// Maximum queue length, as link time. A packet that waits longer has been retransmitted three
+/// times (after 200, 400 and 800 ms), and its caller has slowed down by then.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
+/// Limit, as link time, on how long datagrams that bypass the queue can hold up the others. The
+/// link has dropped what it could not carry, so a flood of resets stops affecting it when the
+/// flood ends, however long it lasted.
+const MAX_DEBT: Duration = MAX_QUEUE_TIME;
+/// Maximum queued bytes, however fast the link is.
+const MAX_QUEUED_BYTES: i64 = 4 * 1024 * 1024;
+/// Minimum sleep before the next datagram, because each wake-up costs as much as a packet.
+const MIN_SLEEP: Duration = Duration::from_millis(2);
 
-/// Tells a packet of a flow from the others of the flow, but not from its own copies.
+/// Identifies a packet within its flow; retransmissions of a packet have the same identifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PacketId {
     kind: SegmentKind,
@@ -57,36 +61,37 @@
     }
 }
 
-/// A datagram on its way out.
+/// A datagram to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutboundDatagram {
-    /// The flow of the packet in it.
+    /// The flow of the packet that the datagram carries.
     pub flow: FlowTuple,
-    /// Which packet of the flow.
+    /// Identifier of the packet within the flow.
     pub packet: PacketId,
-    /// Its content.
+    /// The datagram's payload.
     pub buf: Vec<u8>,
-    /// Where it goes.
+    /// Destination address.
     pub to: SocketAddrV4,
 }
 
 impl OutboundDatagram {
-    /// Returns the bytes that it takes on the wire.
+    /// Returns the size on the wire, in bytes.
     fn size(&self) -> i64 {
         wire_bytes(self.buf.len())
     }
 }
 
-/// What becomes of a datagram.
+/// Result of [`LinkQueue::offer`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may leave now.
+    /// The datagram may leave now.
     Leave(OutboundDatagram),
-    /// It waits.
+    /// The datagram is queued.
     Wait,
-    /// It waits in the place of an earlier copy.
+    /// The datagram has replaced a queued copy of the same packet.
     Replaced,
-    /// It waits, and the last packet of this flow, which had the most bytes, was dropped for it.
+    /// The datagram is queued, and the last packet of this flow, which had the most bytes queued,
+    /// was dropped to make room.
     Dropped(FlowTuple),
 }
 
@@ -94,29 +99,29 @@
 struct Backlog {
     packets: VecDeque<OutboundDatagram>,
     bytes: i64,
-    /// Bytes that the flow may still send in its turn.
-    credit: i64,
-    /// It stands among those that take turns.
-    listed: bool,
+    /// Bytes that the flow may still send in its turn (the deficit counter).
+    deficit: i64,
+    /// Whether the flow is in one of the lists that take turns.
+    scheduled: bool,
 }
 
-/// The datagrams of a process that wait for its link.
+/// The queue of datagrams in front of a process's link.
 #[derive(Debug)]
 pub struct LinkQueue {
     rate: Option<LinkRate>,
-    /// Bytes that may leave now; below zero after more has left.
+    /// Bytes that may leave now; negative after more has left.
     tokens: i64,
     refilled: Timestamp,
     backlogs: HashMap<FlowTuple, Backlog>,
-    /// Flows that had nothing waiting when their packet came.
-    fresh: VecDeque<FlowTuple>,
-    /// The other flows, in the order of their turns.
-    rest: VecDeque<FlowTuple>,
+    /// Flows that had nothing queued when their packet arrived.
+    new_flows: VecDeque<FlowTuple>,
+    /// All other flows, in round-robin order.
+    old_flows: VecDeque<FlowTuple>,
     bytes: i64,
 }
 
 impl LinkQueue {
-    /// Creates an empty queue before a link of `rate`; nothing ever waits where the rate is not known.
+    /// Creates an empty queue for a link of `rate`. If the rate is unknown, nothing is queued.
     #[must_use]
     pub fn new(rate: Option<LinkRate>, now: Timestamp) -> Self {
         Self {
@@ -124,93 +129,97 @@
             tokens: rate.map_or(0, burst),
             refilled: now,
             backlogs: HashMap::new(),
-            fresh: VecDeque::new(),
-            rest: VecDeque::new(),
+            new_flows: VecDeque::new(),
+            old_flows: VecDeque::new(),
             bytes: 0,
         }
     }
 
-    /// Takes in a datagram, and returns it if it may leave at once.
-    pub fn offer(&mut self, departure: OutboundDatagram, now: Timestamp) -> Admission {
-        let Some(rate) = self.rate else { return Admission::Leave(departure) };
+    /// Queues a datagram, or returns it if it may leave at once.
+    pub fn offer(&mut self, datagram: OutboundDatagram, now: Timestamp) -> Admission {
+        let Some(rate) = self.rate else { return Admission::Leave(datagram) };
         self.refill(rate, now);
         if self.tokens > 0 && self.is_empty() {
-            self.tokens -= departure.size();
-            return Admission::Leave(departure);
+            self.tokens -= datagram.size();
+            return Admission::Leave(datagram);
         }
-        let backlog = self.backlogs.entry(departure.flow).or_default();
-        if let Some(copy) = backlog.packets.iter_mut().find(|p| p.packet == departure.packet) {
-            let more = departure.size() - copy.size();
-            *copy = departure;
+        let backlog = self.backlogs.entry(datagram.flow).or_default();
+        if let Some(copy) = backlog.packets.iter_mut().find(|p| p.packet == datagram.packet) {
+            let more = datagram.size() - copy.size();
+            *copy = datagram;
             backlog.bytes += more;
             self.bytes += more;
             return Admission::Replaced;
         }
-        if !backlog.listed {
-            backlog.listed = true;
-            backlog.credit = QUANTUM;
-            self.fresh.push_back(departure.flow);
+        if !backlog.scheduled {
+            backlog.scheduled = true;
+            backlog.deficit = QUANTUM;
+            self.new_flows.push_back(datagram.flow);
         }
-        backlog.bytes += departure.size();
-        self.bytes += departure.size();
-        backlog.packets.push_back(departure);
-        if self.bytes <= rate.bytes_in(WAIT_MAX).min(BYTES_MAX) {
+        backlog.bytes += datagram.size();
+        self.bytes += datagram.size();
+        backlog.packets.push_back(datagram);
+        if self.bytes <= rate.bytes_in(MAX_QUEUE_TIME).min(MAX_QUEUED_BYTES) {
             return Admission::Wait;
         }
-        self.drop_one().map_or(Admission::Wait, Admission::Dropped)
+        self.drop_from_largest_flow().map_or(Admission::Wait, Admission::Dropped)
     }
 
-    /// Charges the link with bytes that leave without waiting here, up to a second of its rate.
+    /// Charges the token bucket for bytes that bypass the queue, down to a debt of one second of
+    /// the link's rate.
     pub fn charge(&mut self, wire_bytes: u64) {
         let Some(rate) = self.rate else { return };
         let bytes = i64::try_from(wire_bytes).unwrap_or(i64::MAX);
-        let lowest = -rate.bytes_in(DEBT_MAX);
+        let lowest = -rate.bytes_in(MAX_DEBT);
         self.tokens = self.tokens.saturating_sub(bytes).max(lowest.min(self.tokens));
     }
 
-    /// Returns the next datagram, if one waits and may leave now.
+    /// Returns the next datagram, if one is queued and may leave now.
     pub fn take(&mut self, now: Timestamp) -> Option<OutboundDatagram> {
         self.refill(self.rate?, now);
         if self.tokens <= 0 {
             return None;
         }
-        let departure = self.next()?;
-        self.tokens -= departure.size();
-        self.bytes -= departure.size();
+        let datagram = self.next()?;
+        self.tokens -= datagram.size();
+        self.bytes -= datagram.size();
         if self.is_empty() {
-            self.forget_turns();
+            self.clear_schedule();
         }
-        Some(departure)
+        Some(datagram)
     }
 
-    /// Returns how long the next datagram has to wait, `None` if none waits.
+    /// Returns the time until the next datagram may leave, or `None` if the queue is empty.
     #[must_use]
     pub fn next_in(&self) -> Option<Duration> {
         let rate = self.rate.filter(|_| !self.is_empty())?;
-        Some(rate.time_for((1 - self.tokens).max(0) * 100 / i64::from(SHARE)).max(WAKE_MIN))
+        Some(
+            rate.time_for((1 - self.tokens).max(0) * 100 / i64::from(USABLE_PERCENT))
+                .max(MIN_SLEEP),
+        )
     }
 
-    /// Returns the bytes that wait.
+    /// Returns the number of queued bytes.
     #[must_use]
     pub fn bytes(&self) -> i64 {
         self.bytes
     }
 
-    /// Returns how long what waits will take.
+    /// Returns the time that the link needs for the queued bytes.
     #[must_use]
     pub fn delay(&self) -> Duration {
         self.rate.map_or(Duration::ZERO, |rate| rate.time_for(self.bytes))
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.bytes == 0
     }
 
     fn refill(&mut self, rate: LinkRate, now: Timestamp) {
-        let gained = rate.bytes_in(now.since(self.refilled) * SHARE / 100);
-        // A gain that rounds to nothing is not lost: it is counted from the same moment again.
+        let gained = rate.bytes_in(now.since(self.refilled) * USABLE_PERCENT / 100);
+        // A gain that rounds to zero is not lost, because the start of the interval is kept.
         if gained > 0 {
             self.tokens = self.tokens.saturating_add(gained).min(burst(rate));
             self.refilled = now;
@@ -219,38 +228,39 @@
 
     fn next(&mut self) -> Option<OutboundDatagram> {
         loop {
-            let from_fresh = !self.fresh.is_empty();
-            let turns = if from_fresh { &mut self.fresh } else { &mut self.rest };
+            let from_new = !self.new_flows.is_empty();
+            let turns = if from_new { &mut self.new_flows } else { &mut self.old_flows };
             let flow = turns.pop_front()?;
             let Some(backlog) = self.backlogs.get_mut(&flow) else { continue };
-            if backlog.credit <= 0 {
-                backlog.credit += QUANTUM;
-                self.rest.push_back(flow);
+            if backlog.deficit <= 0 {
+                backlog.deficit += QUANTUM;
+                self.old_flows.push_back(flow);
                 continue;
             }
-            if let Some(departure) = backlog.packets.pop_front() {
-                backlog.credit -= departure.size();
-                backlog.bytes -= departure.size();
-                let turns = if from_fresh { &mut self.fresh } else { &mut self.rest };
+            if let Some(datagram) = backlog.packets.pop_front() {
+                backlog.deficit -= datagram.size();
+                backlog.bytes -= datagram.size();
+                let turns = if from_new { &mut self.new_flows } else { &mut self.old_flows };
                 turns.push_front(flow);
-                return Some(departure);
+                return Some(datagram);
             }
-            if from_fresh {
-                // Else a flow that sends one packet after the other would stay before all others.
-                self.rest.push_back(flow);
+            if from_new {
+                // Otherwise a flow that sends a steady stream of packets would always stay ahead
+                // of the others.
+                self.old_flows.push_back(flow);
             } else {
                 self.backlogs.remove(&flow);
             }
         }
     }
 
-    fn forget_turns(&mut self) {
+    fn clear_schedule(&mut self) {
         self.backlogs.clear();
-        self.fresh.clear();
-        self.rest.clear();
+        self.new_flows.clear();
+        self.old_flows.clear();
     }
 
-    fn drop_one(&mut self) -> Option<FlowTuple> {
+    fn drop_from_largest_flow(&mut self) -> Option<FlowTuple> {
         let (flow, backlog) = self.backlogs.iter_mut().max_by_key(|(_, b)| b.bytes)?;
         let dropped = backlog.packets.pop_back()?;
         backlog.bytes -= dropped.size();
@@ -259,12 +269,12 @@
     }
 }
 
-/// Returns the bytes that a datagram of `len` bytes takes on the wire.
+/// Returns the size on the wire of a datagram with `len` bytes of payload.
 #[must_use]
 pub fn wire_bytes(len: usize) -> i64 {
     i64::try_from(len + DATAGRAM_OVERHEAD).unwrap_or(i64::MAX)
 }
 
 fn burst(rate: LinkRate) -> i64 {
-    rate.bytes_in(BURST).max(1)
+    rate.bytes_in(BURST_TIME).max(1)
 }
--- a/crates/dillmill-core/src/link_rate.rs
+++ b/crates/dillmill-core/src/link_rate.rs
@@ -1,15 +1,16 @@
-//! How fast a VM's link is.
+//! Defines the rate of a VM's link.
 
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Bytes that a datagram takes on the wire besides its content: heads of Ethernet, IP and UDP, preamble and gap.
+/// Bytes that a datagram takes on the wire in addition to its payload: Ethernet, IP and UDP
+/// headers, preamble and interframe gap.
 ///
-/// Ten datagrams of 1,234 bytes took 5.2 ms each on a link of 2 Mbit/s: 1,300 bytes.
+/// On a 2 Mbit/s link, ten datagrams of 1,234 bytes took 5.2 ms each, which is 1,300 bytes.
 pub const DATAGRAM_OVERHEAD: usize = 66;
 
-/// Rate of a link, in bits a second.
+/// Rate of a link, in bits per second.
 ///
 /// ```
 /// use dillmill_core::LinkRate;
@@ -22,33 +23,35 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkRate(u64);
 
-/// A text that is no rate of a link.
+/// Error returned when a text is not a valid link rate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LinkRateError(String);
 
 impl LinkRate {
-    /// Creates a rate of `mbps` million bits a second; `None` where that is no rate, as the link is not limited then.
+    /// Creates a rate of `mbps` million bits per second. Returns `None` if that is not a valid
+    /// rate; the link is then unlimited.
     #[must_use]
     pub fn from_mbps(mbps: f64) -> Option<Self> {
-        // A million bits a second are as many bits as a second has microseconds.
+        // As a duration in seconds, `mbps` has as many microseconds as the rate has bits per
+        // second.
         let bits = Duration::try_from_secs_f64(mbps).ok()?.as_micros();
         u64::try_from(bits).ok().filter(|bits| *bits >= 8).map(Self)
     }
 
-    /// Returns the rate in million bits a second.
+    /// Returns the rate in millions of bits per second.
     #[must_use]
     pub fn mbps(self) -> f64 {
         Duration::from_micros(self.0).as_secs_f64()
     }
 
-    /// Returns the bytes that pass in `span`.
+    /// Returns the number of bytes that the link carries in `span`.
     #[must_use]
     pub fn bytes_in(self, span: Duration) -> i64 {
         let bytes = u128::from(self.0) * span.as_micros() / 8_000_000;
         i64::try_from(bytes).unwrap_or(i64::MAX)
     }
 
-    /// Returns the time that `bytes` take.
+    /// Returns the time that the link needs for `bytes`.
     #[must_use]
     pub fn time_for(self, bytes: i64) -> Duration {
         let bits = u128::try_from(bytes).unwrap_or(0) * 8_000_000;
@@ -74,7 +77,7 @@
 
 impl fmt::Display for LinkRateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is no rate such as \"20 Mbit/s\"", self.0)
+        write!(f, "invalid link rate {:?}: expected a rate such as \"20 Mbit/s\"", self.0)
     }
 }
 
--- a/crates/dillmill-core/src/open_queue.rs
+++ b/crates/dillmill-core/src/open_queue.rs
@@ -1,19 +1,22 @@
-//! Opening packets that wait at an agent, as its target has more to do than it can in time.
+//! Holds the opening packets that wait for an overloaded target, and chooses which one is served
+//! next.
 //!
-//! A refused caller tries again at once, some tries in a row, and then gives its request up. One whose opening
-//! packet waits is served as soon as there is room. A request that nobody serves is worse than a late one, so the
-//! order is:
+//! A caller that is refused retries at once, a few times in a row, and then abandons its request.
+//! An opening packet that is queued instead is served as soon as there is capacity. An unserved
+//! request is worse than a late one, so packets are served in this order:
 //!
-//! 1. those whose callers may soon end this try, the oldest first; new ones wait behind them. This only while callers of
-//!    the time before the agent's start may be left without another try. At all other times a caller that ends its try
-//!    comes back with a new packet, which is the newest then, and is served no later;
-//! 2. those that can still be answered in time, the newest first;
-//! 3. late ones, when the target would have nothing to do otherwise, the oldest first;
-//! 4. those whose callers are probably gone, when nothing else waits.
+//! 1. Packets whose callers may soon end their current attempt, oldest first; new packets queue
+//!    behind them. This applies only while callers that were waiting before the agent started may
+//!    have no attempts left. At any other time a caller that ends an attempt returns with a new
+//!    packet, which is then the newest and is served no later.
+//! 2. Packets that can still be answered in time, newest first.
+//! 3. Late packets, oldest first, only if the target would otherwise be idle.
+//! 4. Packets whose callers have probably given up, only if nothing else waits.
 //!
-//! A queue that only served the oldest would do all its work for callers that have just gone, once its wait is as
-//! long as their patience, and never recover: each of them would be back with another try. And where the load stays
-//! as high as what targets can do, it would make every answer late, to save few.
+//! A queue that always served the oldest packet would never recover once its delay had reached
+//! the callers' attempt timeout: all its work would go to callers that had just given up, and
+//! each of them would be back with another attempt. Under a load that stays at the targets'
+//! capacity it would also make every answer late in order to save a few.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -22,71 +25,77 @@
 use crate::attempt_timeout::{AttemptTimeoutEstimator, MAX_ATTEMPT_TIMEOUT};
 use crate::{Envelope, FlowTuple, Timestamp};
 
-/// A packet goes first from this long before its caller may be gone: time for its way and for the callers that are
-/// less patient than most.
-const URGENT_WITHIN: Duration = Duration::from_millis(150);
-/// How long callers have waited in vain at the least before an agent starts: a process that was killed, or lost
-/// power, is back after a second or more.
-const OUTAGE: Duration = Duration::from_secs(1);
-/// A copy that has not come this long after it was due was not sent: its caller has gone.
-const COPY_SLACK: Duration = Duration::from_millis(60);
-/// Opening packets that wait at most, some 200 bytes each. None is refused for the sake of another before its caller
-/// gives up: that would only use up one of its tries.
-const CAPACITY: usize = 1000;
-
-/// How long a caller has waited when it sends a copy of its opening packet.
-const COPIES_AFTER: [Duration; 3] =
+/// How long before its caller may give up a packet becomes urgent. Covers the network transit and
+/// callers with a shorter timeout than most.
+const URGENT_MARGIN: Duration = Duration::from_millis(150);
+/// Minimum time for which callers have been without an agent when this one starts: a process that
+/// was killed or lost power needs a second or more to come back.
+const MIN_OUTAGE: Duration = Duration::from_secs(1);
+/// A retransmission that is this late was never sent: the caller has given up.
+const RETRANSMIT_SLACK: Duration = Duration::from_millis(60);
+/// Maximum number of queued opening packets, some 200 bytes each. No packet is refused in favour
+/// of another before its caller gives up, because a refusal only uses up one of the caller's
+/// attempts.
+const MAX_WAITING: usize = 1000;
+
+/// Time since the start of the attempt at which a caller sends its opening packet and each
+/// retransmission.
+const RETRANSMIT_TIMES: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(200), Duration::from_millis(600)];
 
-/// Returns since when the caller waits whose opening packet came at `now` after so many others.
+/// Returns when the caller's attempt began, for an opening packet that arrived at `now` as
+/// retransmission number `copies`.
 #[must_use]
 pub fn waiting_since(copies: u32, now: Timestamp) -> Timestamp {
-    let i = usize::try_from(copies).unwrap_or(usize::MAX).min(COPIES_AFTER.len() - 1);
-    now - COPIES_AFTER[i]
+    let i = usize::try_from(copies).unwrap_or(usize::MAX).min(RETRANSMIT_TIMES.len() - 1);
+    now - RETRANSMIT_TIMES[i]
 }
 
-/// Part of a route's latency aim that the work ahead of a new request may take, in percent. Beyond it the
-/// answer would come late in any case, and late for all behind it, so that the packet waits, where
-/// those behind it may go first. The rest is for the way, for the caller's own time, and for work that takes longer than the
-/// average.
-const AIM_SHARE: u32 = 55;
+/// Percentage of a route's latency objective that the work ahead of a new request may take.
+/// Beyond it the answer would be late in any case and would delay everything behind it, so the
+/// packet is queued, where later packets may overtake it. The rest is for network transit, the
+/// caller's own processing, and work that takes longer than average.
+const QUEUEING_PERCENT: u32 = 55;
 
-/// Returns the time that a request with this latency aim may wait, together with the work ahead of it.
+/// Returns how long a request with this latency objective may take for queueing and the work
+/// ahead of it together.
 #[must_use]
-pub fn wait_limit(aim: Duration) -> Duration {
-    aim * AIM_SHARE / 100
+pub fn wait_limit(objective: Duration) -> Duration {
+    objective * QUEUEING_PERCENT / 100
 }
 
-/// What the wait of an opening packet is measured by.
+/// The time limits of a waiting opening packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitTerms {
-    /// Since when its caller waits, in this try.
+    /// When the caller's current attempt began.
     pub since: Timestamp,
-    /// Time from then on that it may spend waiting and behind the requests of the target to be answered in time.
+    /// Time from `since` that the packet may spend in the queue and behind the target's other
+    /// requests and still be answered in time.
     pub limit: Duration,
-    /// How long callers of its route are assumed to wait.
+    /// Attempt timeout assumed for callers of the route.
     pub attempt_timeout: Duration,
-    /// After what time they give the request up, with all its tries.
+    /// Time after which callers abandon the request, all attempts included.
     pub timeout: Duration,
-    /// Copies of it that have come.
+    /// Number of retransmissions received.
     pub copies: u32,
-    /// It is the request of a flow that is open already: its caller waits for the answer, and sends it again.
+    /// Whether the packet is a request on an open flow. Its caller waits for the answer and
+    /// retransmits the request.
     pub open_flow: bool,
 }
 
-/// How much the wait of an opening packet matters at a moment.
+/// Urgency of a waiting packet at a given moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
-    /// Its caller may soon end this try.
+enum WaitState {
+    /// The caller may soon end its current attempt.
     Urgent,
-    /// It has time left.
-    Waiting,
-    /// Its caller is probably gone.
-    Doubtful,
+    /// The caller still has time left.
+    Pending,
+    /// The caller has probably given up.
+    Abandoned,
 }
 
 impl WaitTerms {
-    /// Returns the terms of a packet that came at `now` after so many others.
+    /// Creates the limits of a packet that arrived at `now` as retransmission number `copies`.
     #[must_use]
     pub fn new(copies: u32, limit: Duration, now: Timestamp) -> Self {
         let since = waiting_since(copies, now);
@@ -100,106 +109,109 @@
         }
     }
 
-    /// Sets how long callers of the route are assumed to wait.
+    /// Sets the attempt timeout assumed for callers of the route.
     #[must_use]
     pub fn attempt_timeout(mut self, attempt_timeout: Duration) -> Self {
         self.attempt_timeout = attempt_timeout;
         self
     }
 
-    /// Sets that it is the request of a flow that is open already.
+    /// Marks the packet as a request on an open flow.
     #[must_use]
     pub fn of_open_flow(mut self) -> Self {
         self.open_flow = true;
         self
     }
 
-    /// Sets after what time callers give a request up.
+    /// Sets the time after which callers abandon a request.
     #[must_use]
     pub fn timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Returns whether the answer can still come in time behind `ahead`, the work of the target.
+    /// Returns whether the answer can still be in time if the target has `ahead` of work to do
+    /// first.
     #[must_use]
     pub fn in_time(&self, ahead: Duration, now: Timestamp) -> bool {
         now.since(self.since) + ahead <= self.limit
     }
 
-    /// Returns how the packet stands at an agent that has run for `age`, if callers wait for `attempt_timeout`.
-    fn standing(&self, attempt_timeout: Duration, age: Duration, now: Timestamp) -> Standing {
+    /// Returns the urgency of the packet at an agent that has run for `age`, given the callers'
+    /// `attempt_timeout`.
+    fn wait_state(&self, attempt_timeout: Duration, age: Duration, now: Timestamp) -> WaitState {
         let waited = now.since(self.since);
         if self.open_flow {
-            let gone = waited + URGENT_WITHIN >= self.attempt_timeout;
-            return if gone { Standing::Doubtful } else { Standing::Waiting };
+            let gives_up = waited + URGENT_MARGIN >= self.attempt_timeout;
+            return if gives_up { WaitState::Abandoned } else { WaitState::Pending };
         }
-        let last_try = age < self.timeout && OUTAGE + age + attempt_timeout >= self.timeout;
-        let ends = waited + URGENT_WITHIN >= attempt_timeout && last_try;
-        if waited >= attempt_timeout || self.copy_is_missing(waited) {
-            Standing::Doubtful
+        let last_attempt = age < self.timeout && MIN_OUTAGE + age + attempt_timeout >= self.timeout;
+        let ends = waited + URGENT_MARGIN >= attempt_timeout && last_attempt;
+        if waited >= attempt_timeout || self.retransmission_missing(waited) {
+            WaitState::Abandoned
         } else if ends {
-            Standing::Urgent
+            WaitState::Urgent
         } else {
-            Standing::Waiting
+            WaitState::Pending
         }
     }
 
-    fn copy_is_missing(&self, waited: Duration) -> bool {
+    fn retransmission_missing(&self, waited: Duration) -> bool {
         let next = usize::try_from(self.copies).unwrap_or(usize::MAX).saturating_add(1);
-        COPIES_AFTER.get(next).is_some_and(|due| waited >= *due + COPY_SLACK)
+        RETRANSMIT_TIMES.get(next).is_some_and(|due| waited >= *due + RETRANSMIT_SLACK)
     }
 }
 
-/// An opening packet that waits.
+/// A waiting opening packet, or a request on an open flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaitingOpen {
-    /// Its flow.
+    /// The flow of the packet.
     pub flow: FlowTuple,
-    /// The packet.
+    /// The packet's bytes.
     pub packet: Vec<u8>,
-    /// What came with it.
+    /// The envelope that the packet arrived in.
     pub envelope: Envelope,
-    /// What its wait is measured by.
+    /// The time limits of its wait.
     pub terms: WaitTerms,
 }
 
-/// The opening packets that wait at one agent.
+/// The queue of opening packets of one agent.
 #[derive(Debug)]
 pub struct OpenQueue {
     waiting: Vec<WaitingOpen>,
     started: Timestamp,
-    /// How long the callers of each route wait.
-    attempt_timeout: HashMap<SocketAddrV4, AttemptTimeoutEstimator>,
+    /// Learned attempt timeout of the callers of each route.
+    estimators: HashMap<SocketAddrV4, AttemptTimeoutEstimator>,
 }
 
 impl OpenQueue {
     /// Creates the queue of an agent that starts at `now`.
     #[must_use]
     pub fn new(now: Timestamp) -> Self {
-        Self { waiting: Vec::new(), started: now, attempt_timeout: HashMap::new() }
+        Self { waiting: Vec::new(), started: now, estimators: HashMap::new() }
     }
 
-    /// Returns whether the opening packet of `flow` waits here.
+    /// Returns whether an opening packet of `flow` is queued.
     #[must_use]
     pub fn contains(&self, flow: &FlowTuple) -> bool {
         self.waiting.iter().any(|open| open.flow == *flow)
     }
 
-    /// Lets a packet wait; returns it if too many wait already.
+    /// Queues a packet, or returns it if the queue is full.
     pub fn push(&mut self, open: WaitingOpen) -> Option<WaitingOpen> {
         if self.contains(&open.flow) {
             self.note_copy(&open.flow, open.terms.copies);
             return None;
         }
-        if self.waiting.len() >= CAPACITY {
+        if self.waiting.len() >= MAX_WAITING {
             return Some(open);
         }
         self.waiting.push(open);
         None
     }
 
-    /// Notes that a copy of the opening packet of `flow` has come; returns whether one waits here.
+    /// Records a retransmission of the opening packet of `flow`; returns whether the packet is
+    /// queued here.
     pub fn note_copy(&mut self, flow: &FlowTuple, copies: u32) -> bool {
         let waiting = self.waiting.iter_mut().find(|open| open.flow == *flow);
         let Some(open) = waiting else { return false };
@@ -207,7 +219,8 @@
         true
     }
 
-    /// Notes what became of an opening packet of `route` that the target took after `waited`.
+    /// Records whether the caller opened its flow after an opening packet of `route` that the
+    /// target took after `waited`.
     pub fn note_outcome(
         &mut self,
         route: SocketAddrV4,
@@ -215,53 +228,54 @@
         opened: bool,
         now: Timestamp,
     ) {
-        self.attempt_timeout.entry(route).or_default().note(waited, opened, now);
+        self.estimators.entry(route).or_default().note(waited, opened, now);
     }
 
-    /// Returns how long the caller of `flow` waits for the answer to its opening packet.
+    /// Returns how long the caller of `flow` is expected to wait for the answer to its opening
+    /// packet.
     #[must_use]
     pub fn attempt_timeout(&self, flow: &FlowTuple, terms: &WaitTerms, now: Timestamp) -> Duration {
-        let learned = self.attempt_timeout.get(&flow.route());
+        let learned = self.estimators.get(&flow.route());
         learned.map_or(terms.attempt_timeout, |learned| learned.refine(terms.attempt_timeout, now))
     }
 
-    fn standing(&self, open: &WaitingOpen, now: Timestamp) -> Standing {
+    fn wait_state(&self, open: &WaitingOpen, now: Timestamp) -> WaitState {
         let attempt_timeout = self.attempt_timeout(&open.flow, &open.terms, now);
-        open.terms.standing(attempt_timeout, now.since(self.started), now)
+        open.terms.wait_state(attempt_timeout, now.since(self.started), now)
     }
 
-    /// Forgets the opening packet of `flow`: a copy of it has gone another way.
+    /// Removes the opening packet of `flow`, a copy of which was routed elsewhere.
     pub fn remove(&mut self, flow: &FlowTuple) {
         self.waiting.retain(|open| open.flow != *flow);
     }
 
-    /// Returns whether a packet waits whose caller may soon end its try.
+    /// Returns whether any queued packet's caller may soon end its attempt.
     #[must_use]
     pub fn any_urgent(&self, now: Timestamp) -> bool {
-        self.waiting.iter().any(|open| self.standing(open, now) == Standing::Urgent)
+        self.waiting.iter().any(|open| self.wait_state(open, now) == WaitState::Urgent)
     }
 
-    /// Returns the next packet that there is room for: behind `ahead`, the time that the target's requests take, or
-    /// at once, if the target has `room`.
+    /// Removes and returns the next packet that may be served. `ahead` is the time that the
+    /// target's requests will take; with `room` the target can take a packet at once.
     pub fn take(&mut self, ahead: Duration, room: bool, now: Timestamp) -> Option<WaitingOpen> {
-        let next = match self.soonest(Standing::Urgent, now) {
+        let next = match self.first_to_give_up(WaitState::Urgent, now) {
             Some(urgent) => room.then_some(urgent),
             None => self.newest_in_time(ahead, now).or_else(|| {
-                let late = || self.soonest(Standing::Waiting, now);
+                let late = || self.first_to_give_up(WaitState::Pending, now);
                 room.then(|| late().or_else(|| self.newest()))?
             }),
         };
         next.map(|i| self.waiting.swap_remove(i))
     }
 
-    /// Returns the packet of this standing whose caller waits the shortest time more.
-    fn soonest(&self, standing: Standing, now: Timestamp) -> Option<usize> {
+    /// Returns the packet in this state whose caller gives up first.
+    fn first_to_give_up(&self, wait_state: WaitState, now: Timestamp) -> Option<usize> {
         let all = self.waiting.iter().enumerate();
-        let such = all.filter(|(_, open)| self.standing(open, now) == standing);
+        let such = all.filter(|(_, open)| self.wait_state(open, now) == wait_state);
         let attempt_timeout =
             |open: &WaitingOpen| self.attempt_timeout(&open.flow, &open.terms, now);
-        let gone = |open: &WaitingOpen| open.terms.since + attempt_timeout(open);
-        such.min_by_key(|(_, open)| gone(open)).map(|(i, _)| i)
+        let gives_up = |open: &WaitingOpen| open.terms.since + attempt_timeout(open);
+        such.min_by_key(|(_, open)| gives_up(open)).map(|(i, _)| i)
     }
 
     fn newest_in_time(&self, ahead: Duration, now: Timestamp) -> Option<usize> {
@@ -274,7 +288,8 @@
         all.max_by_key(|(_, open)| open.terms.since).map(|(i, _)| i)
     }
 
-    /// Returns the packets whose callers have gone for certain, or are about to before an answer could reach them.
+    /// Removes and returns the packets whose callers have certainly given up, or will before an
+    /// answer could reach them.
     pub fn take_abandoned(&mut self, now: Timestamp) -> Vec<WaitingOpen> {
         let lost = |open: &mut WaitingOpen| {
             let terms = &open.terms;
@@ -284,25 +299,26 @@
         self.waiting.extract_if(.., lost).collect()
     }
 
-    /// Returns one of the packets that wait.
+    /// Returns any one of the queued packets.
     #[must_use]
     pub fn first(&self) -> Option<&WaitingOpen> {
         self.waiting.first()
     }
 
-    /// Returns any opening packet: it has nothing to wait for here any more. Requests of open flows stay.
+    /// Removes and returns any opening packet, as waiting here no longer serves a purpose.
+    /// Requests on open flows stay queued.
     pub fn take_any_open(&mut self) -> Option<WaitingOpen> {
         let i = self.waiting.iter().rposition(|open| !open.terms.open_flow)?;
         Some(self.waiting.swap_remove(i))
     }
 
-    /// Returns the number of packets that wait.
+    /// Returns the number of queued packets.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns whether no packet waits.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
--- a/crates/dillmill-core/src/placement.rs
+++ b/crates/dillmill-core/src/placement.rs
@@ -1,9 +1,10 @@
-//! Which agent of a service runs a request.
+//! Chooses the agent of a service that runs a request.
 //!
-//! Flows can't move, requests can. The agent that holds the caller's flow compares its own target
-//! with what its siblings last reported, and hands the request over when another is clearly
-//! better. A report counts for a few seconds only, and every request handed over since the report
-//! is added to it, so that all agents don't run to the same sibling at once.
+//! Flows cannot move between agents, but requests can. The agent that holds the caller's flow
+//! compares its own target with the latest load reports of its siblings, the other agents of the
+//! service, and hands the request over if another is clearly better. A report is valid for a few
+//! seconds only, and every request handed over since then is added to it, so that the agents do
+//! not all choose the same sibling at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -16,31 +17,32 @@
 
 const REPORT_LIFETIME: Duration = Duration::from_millis(2500);
 
-/// How the agent for a request is chosen.
+/// Policy for choosing the agent that runs a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
     /// Always the agent that holds the flow.
     Local,
-    /// The agent that holds the flow while it has a free slot, else the better of two drawn.
+    /// The agent that holds the flow while it has a free slot, otherwise the better of two random
+    /// siblings.
     #[default]
     LocalFirst,
-    /// The least loaded of the agent that holds the flow and two drawn.
+    /// The least loaded of the agent that holds the flow and two random siblings.
     PowerOfTwo,
-    /// The least loaded of all that reported.
+    /// The least loaded of all agents with a current report.
     LeastLoaded,
 }
 
-/// What an agent tells its siblings, first-hand.
+/// Load report that an agent sends to its siblings about its own target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The agent.
     pub process: ProcessId,
-    /// Slots that its target has now; zero while it takes no new work.
+    /// Slots that its target has now; zero while the target takes no new work.
     pub slots: Slots,
     /// Slots in use.
     pub in_use: u16,
-    /// Requests waiting.
+    /// Queued requests.
     pub queued: u16,
     /// Open flows.
     pub flows: u32,
@@ -49,15 +51,15 @@
 }
 
 impl LoadReport {
-    /// Returns the report of an agent whose target has nothing to do.
+    /// Returns the report of an agent whose target is idle.
     #[must_use]
     pub const fn idle(process: ProcessId, slots: u16) -> Self {
         let pace = TargetPace { work: Duration::ZERO, cold: None };
         Self { process, slots: Slots(slots), in_use: 0, queued: 0, flows: 0, pace }
     }
 
-    /// Returns whether the target has something else to do than `before`. How long a request takes there changes with each
-    /// answer, and alone is not worth a message.
+    /// Returns whether the report differs from `before` in more than the service time. That
+    /// changes with every answer, and alone does not justify a message.
     #[must_use]
     pub fn differs_notably_from(&self, before: &Self) -> bool {
         let work = before.pace.work;
@@ -71,13 +73,13 @@
     report: LoadReport,
     at: Timestamp,
     control: SocketAddrV4,
-    sent_since: u16,
+    handed_over_since: u16,
 }
 
-/// Where a request is to run.
+/// Where to run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Place {
-    /// On the target beside this agent.
+    /// On this agent's own target.
     Here,
     /// On a sibling's target.
     Sibling {
@@ -88,37 +90,38 @@
     },
 }
 
-/// What an agent knows of its siblings' load.
+/// Latest load reports of an agent's siblings.
 #[derive(Debug, Default)]
 pub struct Siblings {
     known: BTreeMap<ProcessId, Sibling>,
-    away: BTreeSet<ProcessId>,
+    unavailable: BTreeSet<ProcessId>,
 }
 
 impl Siblings {
-    /// Takes in a report, unless its sender takes no new work by the members' list.
+    /// Records a report, unless the membership list says that its sender takes no new work.
     pub fn report(&mut self, report: LoadReport, control: SocketAddrV4, now: Timestamp) {
-        if self.away.contains(&report.process) {
+        if self.unavailable.contains(&report.process) {
             return;
         }
-        self.known.insert(report.process, Sibling { report, at: now, control, sent_since: 0 });
+        self.known
+            .insert(report.process, Sibling { report, at: now, control, handed_over_since: 0 });
     }
 
-    /// Returns whether a report of this sibling is held.
+    /// Returns whether there is a report from this sibling.
     #[must_use]
     pub fn knows(&self, process: ProcessId) -> bool {
         self.known.contains_key(&process)
     }
 
-    /// Says which processes leave or are silent, in place of those named before.
+    /// Replaces the set of processes that are leaving or silent.
     ///
-    /// One that leaves reports its load until it is done; nothing new goes there meanwhile.
-    pub fn set_unavailable(&mut self, away: impl IntoIterator<Item = ProcessId>) {
-        self.away = away.into_iter().collect();
-        self.known.retain(|process, _| !self.away.contains(process));
+    /// A leaving agent reports its load until it is done, but gets no new requests meanwhile.
+    pub fn set_unavailable(&mut self, unavailable: impl IntoIterator<Item = ProcessId>) {
+        self.unavailable = unavailable.into_iter().collect();
+        self.known.retain(|process, _| !self.unavailable.contains(process));
     }
 
-    /// Chooses where a request runs; a sibling that is chosen counts one request more.
+    /// Chooses where a request runs, and counts the request towards a chosen sibling's load.
     pub fn place(
         &mut self,
         policy: Policy,
@@ -150,13 +153,14 @@
         let best = candidates
             .iter()
             .map(|p| &self.known[p])
-            .min_by_key(|s| load(s.report, s.sent_since))
+            .min_by_key(|s| load(s.report, s.handed_over_since))
             .copied();
         match best {
-            // One request more than the sibling's: a hand-over costs a round trip.
-            Some(s) if closed || load(s.report, s.sent_since + 1) < load(own, 0) => {
+            // The sibling must be better even with one more request than this one: a hand-over
+            // costs a round trip.
+            Some(s) if closed || load(s.report, s.handed_over_since + 1) < load(own, 0) => {
                 if let Some(known) = self.known.get_mut(&s.report.process) {
-                    known.sent_since += 1;
+                    known.handed_over_since += 1;
                 }
                 Place::Sibling { process: s.report.process, control: s.control }
             }
@@ -165,7 +169,7 @@
     }
 }
 
-/// Returns the requests per slot, in thousandths.
+/// Returns the load in thousandths of a request per slot.
 fn load(report: LoadReport, extra: u16) -> u32 {
     let requests = u32::from(report.in_use) + u32::from(report.queued) + u32::from(extra);
     requests * 1000 / u32::from(report.slots.0.max(1))
--- a/crates/dillmill-core/src/retry_budget.rs
+++ b/crates/dillmill-core/src/retry_budget.rs
@@ -1,11 +1,11 @@
-//! A share of first tries that may be spent on retries.
+//! Limits retries to a percentage of first attempts.
 
 use crate::Percent;
 
-const TRY_COST: u32 = 100;
-const MAX_TRIES_SAVED: u32 = 20;
+const RETRY_COST: u32 = 100;
+const MAX_SAVED_RETRIES: u32 = 20;
 
-/// Counts first tries and lets a percentage of them be tried again.
+/// Counts first attempts and allows retries for a percentage of them.
 ///
 /// ```
 /// use dillmill_core::{Percent, retry_budget::RetryBudget};
@@ -19,32 +19,32 @@
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     share: Percent,
-    saved: u32,
+    balance: u32,
 }
 
 impl RetryBudget {
-    /// Creates an empty budget that earns `share` of each first try.
+    /// Creates an empty budget that earns `share` of a retry for each first attempt.
     #[must_use]
     pub fn new(share: Percent) -> Self {
-        Self { share, saved: 0 }
+        Self { share, balance: 0 }
     }
 
-    /// Changes the share, keeping what is saved.
+    /// Changes the share and keeps the balance.
     pub fn set_share(&mut self, share: Percent) {
         self.share = share;
     }
 
-    /// Earns the share of one first try.
+    /// Adds the share earned by one first attempt.
     pub fn record_first_try(&mut self) {
-        self.saved = (self.saved + u32::from(self.share.0)).min(TRY_COST * MAX_TRIES_SAVED);
+        self.balance = (self.balance + u32::from(self.share.0)).min(RETRY_COST * MAX_SAVED_RETRIES);
     }
 
-    /// Spends one retry if there is enough.
+    /// Spends one retry if the balance allows it, and returns whether it did.
     pub fn try_spend(&mut self) -> bool {
-        if self.saved < TRY_COST {
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.saved -= TRY_COST;
+        self.balance -= RETRY_COST;
         true
     }
 }
--- a/crates/dillmill-core/src/scheduler.rs
+++ b/crates/dillmill-core/src/scheduler.rs
@@ -1,9 +1,11 @@
-//! Which request runs next on a target, and which is refused.
+//! Schedules requests on the slots of one target, and refuses those that cannot be served in
+//! time.
 //!
 //! The agent never runs more requests than its target has slots. Free slots are shared among
-//! groups by weight with start-time fair queueing (Goyal, Vin and Cheng, 1996) on slot time, which
-//! is work-conserving: a group alone may use every slot. Within a group the earliest deadline goes
-//! first. A request that can't be expected to finish by its deadline is refused at once.
+//! groups by weight, using start-time fair queueing (Goyal, Vin and Cheng, 1996) on slot time.
+//! This is work-conserving: a single active group may use every slot. Within a group, the
+//! earliest deadline goes first. A request that is not expected to finish by its deadline is
+//! refused at once.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -13,81 +15,82 @@
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(20);
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Number of a request within one agent.
+/// Identifier of a request, unique within one agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// How waiting requests are ordered.
+/// Queue discipline for waiting requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Sharing {
     /// Weighted fair share of slot time among groups.
     #[default]
     Fair,
-    /// First come, first served: the baseline that measurements compare with.
+    /// First come, first served: the baseline for measurements.
     ArrivalOrder,
 }
 
-/// What a request asks for.
+/// Scheduling parameters of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SchedulingRequest {
     /// The request.
     pub id: RequestId,
-    /// Whose it is.
+    /// The group that the request belongs to.
     pub group: GroupName,
-    /// Share of the group.
+    /// Weight of the group.
     pub weight: Weight,
     /// When the caller stops waiting.
     pub deadline: Timestamp,
-    /// Requests of the group that may wait at once.
+    /// Maximum number of queued requests of the group.
     pub max_queue: usize,
-    /// Longest time in the queue.
+    /// Maximum time in the queue.
     pub max_wait: Duration,
 }
 
 /// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Refusal {
-    /// The group has as many requests waiting as it may.
+    /// The group's queue is full.
     #[error("the group's queue is full")]
     QueueFull,
-    /// It would not finish by its deadline.
-    #[error("it can't finish by its deadline")]
+    /// The request would not finish by its deadline.
+    #[error("the request cannot finish by its deadline")]
     TooLate,
-    /// It waited as long as it may.
-    #[error("it waited too long")]
+    /// The request reached its maximum time in the queue.
+    #[error("the request waited too long in the queue")]
     WaitedTooLong,
     /// The agent is leaving or has no slots.
     #[error("the target takes no new work")]
     Closed,
 }
 
-/// Answer to [`Scheduler::offer`].
+/// Result of [`Scheduler::offer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
-    /// Run it now.
+    /// The request runs now.
     Run,
-    /// It waits; [`Scheduler::finish`] or [`Scheduler::expire`] will name it.
+    /// The request is queued; [`Scheduler::finish`], [`Scheduler::start_waiting`] or
+    /// [`Scheduler::expire`] returns it later.
     Wait,
-    /// It is not run; worth trying again after the given time.
+    /// The request is refused; the caller should retry after the given time.
     Refuse(Refusal, Duration),
 }
 
-/// A request taken out of the queue unrun.
+/// A request removed from the queue without being run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Expired {
     /// The request.
     pub id: RequestId,
-    /// Why.
+    /// Why the request is refused.
     pub refusal: Refusal,
-    /// When to come back.
+    /// When the caller should retry.
     pub retry_after: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Waiting {
+struct QueuedRequest {
     deadline: Timestamp,
     id: RequestId,
-    give_up: Timestamp,
+    give_up_at: Timestamp,
 }
 
 #[derive(Debug)]
@@ -95,22 +98,22 @@
     weight: Weight,
     virtual_time: u64,
     running: usize,
-    waiting: BTreeSet<Waiting>,
+    waiting: BTreeSet<QueuedRequest>,
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningRequest {
     group: GroupName,
     started: Timestamp,
     charged: u64,
 }
 
-/// The slots and the queue of one target.
+/// Scheduler for the slots of one target, with a queue for each group.
 #[derive(Debug)]
 pub struct Scheduler {
     sharing: Sharing,
     slots: Slots,
-    running: HashMap<RequestId, Running>,
+    running: HashMap<RequestId, RunningRequest>,
     groups: BTreeMap<GroupName, GroupQueue>,
     virtual_time: u64,
     service_time: Duration,
@@ -139,35 +142,35 @@
         self
     }
 
-    /// Changes the number of slots; running requests go on.
+    /// Changes the number of slots; running requests continue.
     pub fn set_slots(&mut self, slots: Slots) {
         self.slots = slots;
     }
 
-    /// Refuses all new requests from now on; waiting ones still run.
+    /// Refuses all new requests from now on; queued ones still run.
     pub fn close(&mut self) {
         self.closed = true;
     }
 
-    /// Returns the slots in use.
+    /// Returns the number of slots in use.
     #[must_use]
     pub fn in_use(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the slots that the target has now.
+    /// Returns the current number of slots.
     #[must_use]
     pub fn slots(&self) -> Slots {
         self.slots
     }
 
-    /// Returns the number of waiting requests.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.groups.values().map(|g| g.waiting.len()).sum()
     }
 
-    /// Returns the mean time in a slot, learnt from finished requests.
+    /// Returns the average time that a request holds a slot, learned from finished requests.
     #[must_use]
     pub fn service_time(&self) -> Duration {
         self.service_time
@@ -177,37 +180,37 @@
         self.running.len() < usize::from(self.slots.0)
     }
 
-    /// Takes, queues or refuses a request.
-    pub fn offer(&mut self, ask: &SchedulingRequest, now: Timestamp) -> Offer {
-        let retry_after = self.drain_time(&ask.group);
+    /// Starts, queues or refuses a request.
+    pub fn offer(&mut self, request: &SchedulingRequest, now: Timestamp) -> Offer {
+        let retry_after = self.drain_time(&request.group);
         if self.closed || self.slots.0 == 0 {
             return Offer::Refuse(Refusal::Closed, retry_after);
         }
-        if ask.deadline <= now {
+        if request.deadline <= now {
             return Offer::Refuse(Refusal::TooLate, retry_after);
         }
-        let group = self.groups.entry(ask.group.clone()).or_insert_with(|| GroupQueue {
-            weight: ask.weight,
+        let group = self.groups.entry(request.group.clone()).or_insert_with(|| GroupQueue {
+            weight: request.weight,
             virtual_time: 0,
             running: 0,
             waiting: BTreeSet::new(),
         });
-        group.weight = ask.weight;
+        group.weight = request.weight;
         let waiting = group.waiting.len();
         if self.has_free_slot() && self.queued() == 0 {
-            self.start(ask.id, &ask.group, now);
+            self.start(request.id, &request.group, now);
             return Offer::Run;
         }
-        if waiting >= ask.max_queue {
+        if waiting >= request.max_queue {
             return Offer::Refuse(Refusal::QueueFull, retry_after);
         }
-        let wait = self.wait_time(&ask.group, waiting);
-        if now + wait + self.service_time > ask.deadline {
+        let wait = self.wait_time(&request.group, waiting);
+        if now + wait + self.service_time > request.deadline {
             return Offer::Refuse(Refusal::TooLate, retry_after);
         }
-        let give_up = ask.deadline.min(now + ask.max_wait);
-        let entry = Waiting { deadline: ask.deadline, id: ask.id, give_up };
-        if let Some(group) = self.groups.get_mut(&ask.group) {
+        let give_up_at = request.deadline.min(now + request.max_wait);
+        let entry = QueuedRequest { deadline: request.deadline, id: request.id, give_up_at };
+        if let Some(group) = self.groups.get_mut(&request.group) {
             if group.waiting.is_empty() && group.running == 0 {
                 group.virtual_time = group.virtual_time.max(self.virtual_time);
             }
@@ -216,7 +219,7 @@
         Offer::Wait
     }
 
-    /// Frees the slot of a finished request and returns those that now start.
+    /// Frees the slot of a finished request, and returns the queued requests that start now.
     pub fn finish(&mut self, id: RequestId, now: Timestamp) -> Vec<RequestId> {
         if let Some(run) = self.running.remove(&id) {
             let took = now.since(run.started);
@@ -230,7 +233,7 @@
         self.start_waiting(now)
     }
 
-    /// Starts waiting requests while there are free slots, as after a change of slots.
+    /// Starts queued requests while slots are free, such as after a change of slots.
     pub fn start_waiting(&mut self, now: Timestamp) -> Vec<RequestId> {
         let mut started = Vec::new();
         while self.has_free_slot() {
@@ -252,14 +255,15 @@
         started
     }
 
-    /// Takes out a request whose caller went away; its slot, if any, is freed by `finish`.
+    /// Removes a queued request whose caller went away. The slot of a running one is freed by
+    /// `finish`.
     pub fn cancel_waiting(&mut self, id: RequestId) {
         for group in self.groups.values_mut() {
             group.waiting.retain(|w| w.id != id);
         }
     }
 
-    /// Takes out the requests that have waited as long as they may.
+    /// Removes and returns the requests that have reached their maximum time in the queue.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Expired> {
         let mut out = Vec::new();
         let names: Vec<GroupName> = self.groups.keys().cloned().collect();
@@ -267,7 +271,7 @@
             let retry_after = self.drain_time(&name);
             let Some(group) = self.groups.get_mut(&name) else { continue };
             group.waiting.retain(|w| {
-                let keep = w.give_up > now;
+                let keep = w.give_up_at > now;
                 if !keep {
                     let refusal = Refusal::WaitedTooLong;
                     out.push(Expired { id: w.id, refusal, retry_after });
@@ -299,10 +303,11 @@
         self.virtual_time = start;
         group.virtual_time = start + charged;
         group.running += 1;
-        self.running.insert(id, Running { group: name.clone(), started: now, charged });
+        self.running.insert(id, RunningRequest { group: name.clone(), started: now, charged });
     }
 
-    /// Returns the expected wait of a request with `ahead` others of its group before it.
+    /// Returns the expected queueing time of a request with `ahead` others of its group before
+    /// it.
     fn wait_time(&self, name: &GroupName, ahead: usize) -> Duration {
         let active: u32 = self
             .groups
@@ -316,7 +321,7 @@
         self.service_time.saturating_mul(ahead) * active.max(own) / (own * slots)
     }
 
-    /// Returns when the group's queue is expected to be empty: the time to come back.
+    /// Returns the time until the group's queue is expected to be empty, used as the retry delay.
     fn drain_time(&self, name: &GroupName) -> Duration {
         let ahead = self.groups.get(name).map_or(0, |g| g.waiting.len());
         self.wait_time(name, ahead).max(MIN_RETRY_AFTER)
--- a/crates/dillmill-core/src/start_delay.rs
+++ b/crates/dillmill-core/src/start_delay.rs
@@ -1,28 +1,31 @@
-//! How long a process that has started waits for its peers before it asks the platform's store.
+//! Computes how long a starting process waits for its peers before it queries the platform's
+//! store.
 //!
-//! In a small fleet each tenth of a second counts, and a few calls do not. In a large one nearly all processes know
-//! nobody for a moment when everything starts, and their peers tell them soon.
+//! In a small fleet each tenth of a second counts, while a few calls do not. In a large fleet
+//! nearly all processes know no peer for a moment when everything starts, and soon learn from
+//! their peers.
 
 use std::time::Duration;
 
 use crate::membership::FleetSize;
 
-/// Fleets up to this size ask without waiting for each other.
+/// Largest fleet whose processes query the store without waiting for each other.
 const SMALL: u32 = 64;
 
-/// A wait of `base` and more, of which each process draws its own share.
+/// A delay of at least `base`, of which each process draws a random share of the rest.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StartDelay {
-    /// The least.
+    /// Minimum delay.
     pub base: Duration,
-    /// How much longer the last of a small fleet waits.
+    /// Additional delay of the last process of a small fleet.
     pub spread: Duration,
-    /// How much longer still for each process beyond a small fleet.
+    /// Further delay for each process beyond a small fleet.
     pub per_process: Duration,
 }
 
 impl StartDelay {
-    /// Returns how long the process waits that has drawn `share`, from 0 to 1; `size` is 0 where it is not known.
+    /// Returns the delay of a process that has drawn `share`, from 0 to 1; `size` is 0 if
+    /// unknown.
     #[must_use]
     pub fn of(&self, share: f64, size: FleetSize) -> Duration {
         let beyond = size.0.saturating_sub(SMALL);
--- a/crates/dillmill-core/src/target_flows.rs
+++ b/crates/dillmill-core/src/target_flows.rs
@@ -1,4 +1,5 @@
-//! The flows that one target holds, as its agent sees them pass.
+//! Tracks the flows of one target, the requests on them and the target's health, from the packets
+//! that pass its agent.
 
 use std::time::Duration;
 
@@ -8,39 +9,44 @@
 use crate::segment::{Segment, SegmentKind};
 use crate::{FlowTuple, Timestamp};
 
-/// Kept this long after the last packet: longer than any sensible idle time-out of a flow, and long
-/// enough for late packets of a closed one.
+/// How long a flow is kept after its last packet: longer than any sensible idle timeout of a
+/// flow, and long enough for late packets of a closed one.
 const FLOW_LIFETIME: Duration = Duration::from_secs(20);
-/// Flows of one generation, well above the connections that a target takes.
+/// Maximum number of flows per generation, well above the number of connections that a target
+/// accepts.
 const CAPACITY: usize = 20_000;
-/// A caller's first acknowledgement lies this close to the number with which its target began.
+/// Maximum distance of a caller's first acknowledgement from the target's initial sequence
+/// number.
 const FIRST_ACK_WINDOW: u32 = 1 << 16;
-/// A request that has waited longer is not counted as running: its caller has mostly given up.
-const REQUEST_LIMIT: Duration = Duration::from_secs(3);
-/// A flow that was just taken counts as a request for this long, until its first bytes come: about
-/// two round trips between data centres.
-const FIRST_REQUEST: Duration = Duration::from_millis(30);
+/// A request that has waited longer is not counted as running, because its caller has usually
+/// given up.
+const REQUEST_LIFETIME: Duration = Duration::from_secs(3);
+/// How long a new flow counts as a request before its first bytes arrive: about two round trips
+/// between data centres.
+const FIRST_REQUEST_WINDOW: Duration = Duration::from_millis(30);
 
-/// A living target answers each packet that wants an answer at once; the agent is beside it, so nothing
-/// but its own pauses comes between. A target that is silent for longer has crashed or stands still.
+/// Silence after which a target is considered crashed or stalled. A running target answers at
+/// once each packet that requires an answer, and its agent is beside it, so only the target's own
+/// pauses add to the delay.
 const SILENCE_LIMIT: Duration = Duration::from_millis(300);
-/// A request without an answer for this many times the usual work is overdue, if nothing else was answered meanwhile: hardly
-/// any sound answer takes as long.
-const OVERDUE_WORKS: u32 = 8;
-/// The same at the least: pauses of the target and its agent.
+/// A request is overdue once it has been unanswered for this multiple of the usual service time
+/// and no other request was answered meanwhile. Hardly any healthy answer takes as long.
+const OVERDUE_FACTOR: u32 = 8;
+/// Minimum time before a request is overdue, to allow for pauses of the target and its agent.
 const OVERDUE_MIN: Duration = Duration::from_millis(250);
-/// Work of a request before any was seen.
+/// Service time assumed before any request was observed.
 pub const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(50);
-/// Weight of a new observation of the work: some ten requests settle it.
-const WORK_SHARE: u32 = 8;
+/// Inverse weight of an observation in the average service time, which settles after some ten
+/// requests.
+const SMOOTHING_DIVISOR: u32 = 8;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// The target has been handed the opening packet.
+    /// The opening packet was delivered to the target.
     Opening,
     /// The caller has acknowledged the target, or data has passed.
     Open,
-    /// One end has finished or reset.
+    /// Either end has finished or reset the flow.
     Closed,
 }
 
@@ -48,46 +54,47 @@
 struct TargetFlow {
     stage: Stage,
     target_seq: Option<u32>,
-    taken: Timestamp,
+    taken_at: Timestamp,
     /// Number of the byte that the caller expects next.
     caller_expects: u32,
-    /// When the request that has had no answer yet began.
+    /// When the pending request began, if there is one.
     request: Option<Timestamp>,
-    /// A request has come: the flow is no longer expected to bring its first.
-    began: bool,
-    /// It began while a slot was free, so that its time is that of the work alone.
+    /// Whether a request has arrived, so that the flow is no longer expected to bring its first.
+    had_request: bool,
+    /// Whether the pending request began while a slot was free, so that its duration is the
+    /// service time alone.
     unqueued: bool,
-    /// It was noted that the request has no answer for far too long.
+    /// Whether the pending request was already recorded as overdue.
     overdue: bool,
 }
 
-/// Whether a packet of a caller belongs to the target.
+/// Whether a caller's packet belongs to a flow of the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowMatch {
     /// The target holds the flow.
     Held {
-        /// The packet begins a request, and is not the first to do so.
+        /// The packet begins a request that is not the first of its flow.
         further: bool,
     },
     /// The caller has acknowledged another target.
     Other,
-    /// Nothing is known of the flow.
+    /// The flow is unknown.
     Unknown,
 }
 
-/// What follows from a packet of the target.
+/// What the agent has to do after a packet of the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TargetPacketEffect {
-    /// The flow is new, so that the directory must learn of it.
+    /// The flow is new and must be registered in the directory.
     pub new: bool,
-    /// How long the request took whose answer begins.
+    /// Duration of the request whose answer begins with this packet.
     pub answered: Option<Duration>,
-    /// The target resets a flow that it may never have owned: the caller may have acknowledged another
-    /// target, to which a copy of its opening packet went.
+    /// The target resets a flow that it may never have owned: the caller may have acknowledged
+    /// another target that received a copy of the opening packet.
     pub stray_reset: bool,
 }
 
-/// A flow that was open, and is over without a word of its target.
+/// A flow that was open and ended without a packet from its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedFlow {
     /// The flow.
@@ -96,16 +103,17 @@
     pub caller_expects: u32,
 }
 
-/// The flows of one target.
+/// The flows of one target, with the measurements taken from them.
 #[derive(Debug)]
 pub struct TargetFlows {
     flows: GenerationCache<FlowTuple, TargetFlow>,
-    /// Time that the target takes for a request that does not wait, smoothed.
+    /// Service time: moving average of the time that the target takes for a request that does not
+    /// queue.
     work: Duration,
     outcomes: Outcomes,
     norms: AnswerNorms,
-    /// Since when the target has left every packet without an answer.
-    unheard: Option<Timestamp>,
+    /// Time of the first packet since which the target has answered nothing.
+    unanswered_since: Option<Timestamp>,
     /// When the target last answered a request.
     last_answer: Timestamp,
 }
@@ -117,14 +125,15 @@
             work: INITIAL_SERVICE_TIME,
             outcomes: Outcomes::default(),
             norms: AnswerNorms::default(),
-            unheard: None,
+            unanswered_since: None,
             last_answer: Timestamp::default(),
         }
     }
 }
 
 impl TargetFlows {
-    /// Notes that the target is handed the opening packet of a flow; returns whether it is new there.
+    /// Records that the opening packet of a flow is delivered to the target; returns whether the
+    /// target had not received it before.
     pub fn opening(&mut self, flow: FlowTuple, copies: u32, now: Timestamp) -> bool {
         if copies > 0 && self.flows.get_mut(&flow, now).is_some() {
             return false;
@@ -132,29 +141,32 @@
         let opening = TargetFlow {
             stage: Stage::Opening,
             target_seq: None,
-            taken: now,
+            taken_at: now,
             caller_expects: 0,
             request: None,
-            began: false,
+            had_request: false,
             unqueued: false,
             overdue: false,
         };
-        self.unheard.get_or_insert(now);
+        self.unanswered_since.get_or_insert(now);
         self.flows.insert(flow, opening, now);
         true
     }
 
-    /// Returns whether a packet of the caller begins a request that is not the first of its flow.
+    /// Returns whether a caller's packet begins a request that is not the first of its flow.
     #[must_use]
     pub fn begins_further(&self, seg: &Segment) -> bool {
-        let begins =
-            |flow: &TargetFlow| flow.stage == Stage::Open && flow.began && flow.request.is_none();
+        let begins = |flow: &TargetFlow| {
+            flow.stage == Stage::Open && flow.had_request && flow.request.is_none()
+        };
         seg.len > 0 && self.flows.peek(&seg.flow).is_some_and(begins)
     }
 
-    /// Takes in a packet of the caller and says whether it belongs to the target, which has `slots`.
+    /// Records a caller's packet for a target with `slots`, and returns whether it belongs to the
+    /// target.
     pub fn note_caller(&mut self, seg: &Segment, slots: u16, now: Timestamp) -> FlowMatch {
-        // Looking at all flows costs: only the first packet of a request needs it.
+        // Computing the load visits all flows, so it is done only for the first packet of a
+        // request.
         let begins = |flow: &TargetFlow| seg.len > 0 && flow.request.is_none();
         let unqueued = self.flows.peek(&seg.flow).is_some_and(begins)
             && self.load(now).requests <= u32::from(slots);
@@ -169,15 +181,15 @@
         }
         flow.caller_expects = seg.ack;
         if seg.len > 0 {
-            self.unheard.get_or_insert(now);
+            self.unanswered_since.get_or_insert(now);
         }
         let mut further = false;
         match seg.kind {
             SegmentKind::Finish | SegmentKind::Reset => flow.stage = Stage::Closed,
             _ if seg.len > 0 && flow.request.is_none() => {
-                further = flow.began;
+                further = flow.had_request;
                 flow.request = Some(now);
-                flow.began = true;
+                flow.had_request = true;
                 flow.unqueued = unqueued;
                 flow.overdue = false;
             }
@@ -186,41 +198,43 @@
         FlowMatch::Held { further }
     }
 
-    /// Returns whether anything is known of `flow`.
+    /// Returns whether `flow` is tracked.
     #[must_use]
     pub fn knows(&self, flow: &FlowTuple) -> bool {
         self.flows.peek(flow).is_some()
     }
 
-    /// Returns whether the caller has opened a flow that the target has accepted.
+    /// Returns whether the caller has opened the flow; `None` if it is unknown or the target has
+    /// not accepted it.
     #[must_use]
     pub fn was_opened(&self, flow: &FlowTuple) -> Option<bool> {
         let known = self.flows.peek(flow)?;
         known.target_seq.map(|_| known.stage != Stage::Opening)
     }
 
-    /// Notes a sign of life of the target.
+    /// Records that the target has shown activity.
     pub fn heard(&mut self) {
-        self.unheard = None;
+        self.unanswered_since = None;
     }
 
-    /// Returns whether the target has left all packets without an answer for too long.
+    /// Returns whether the target has answered no packet for longer than the silence limit.
     #[must_use]
     pub fn silent(&self, now: Timestamp) -> bool {
-        self.unheard.is_some_and(|since| now.since(since) >= SILENCE_LIMIT)
+        self.unanswered_since.is_some_and(|since| now.since(since) >= SILENCE_LIMIT)
     }
 
-    /// Returns whether the target breaks off what it is given.
+    /// Returns whether the target is ejected because it fails requests.
     #[must_use]
     pub fn failing(&self, now: Timestamp) -> bool {
         self.outcomes.failing(now)
     }
 
-    /// Notes requests that have no answer for far too long at a target with `slots`; call it every 100 ms or so.
+    /// Records overdue requests at a target with `slots`. Call it about every 100 ms.
     ///
-    /// A target that takes requests and answers none looks busy, and keeps what it has taken until callers give up.
+    /// A target that takes requests and answers none appears busy, and keeps the requests until
+    /// their callers give up.
     pub fn note_overdue(&mut self, slots: u16, now: Timestamp) {
-        let limit = (self.work * OVERDUE_WORKS).max(OVERDUE_MIN);
+        let limit = (self.work * OVERDUE_FACTOR).max(OVERDUE_MIN);
         for (_, flow) in self.flows.iter_mut() {
             let Some(since) = flow.request.filter(|_| flow.stage == Stage::Open) else { continue };
             if !flow.overdue && now.since(since) >= limit {
@@ -232,7 +246,7 @@
         }
     }
 
-    /// Takes in a packet of the target.
+    /// Records a packet of the target.
     pub fn note_target(&mut self, seg: &Segment, now: Timestamp) -> TargetPacketEffect {
         self.heard();
         let Some(flow) = self.flows.get_mut(&seg.flow, now) else {
@@ -243,10 +257,10 @@
             let learned = TargetFlow {
                 stage: if accept { Stage::Opening } else { Stage::Open },
                 target_seq: accept.then_some(seg.seq),
-                taken: now,
+                taken_at: now,
                 caller_expects: seg.seq,
                 request: None,
-                began: true,
+                had_request: true,
                 unqueued: false,
                 overdue: false,
             };
@@ -276,29 +290,32 @@
             }
         }
         if let Some(took) = answered.filter(|_| flow.unqueued) {
-            self.work = (self.work * (WORK_SHARE - 1) + took) / WORK_SHARE;
+            self.work = (self.work * (SMOOTHING_DIVISOR - 1) + took) / SMOOTHING_DIVISOR;
         }
         TargetPacketEffect { new: false, answered, stray_reset }
     }
 
-    /// Returns the time that the target takes for a request that does not wait.
+    /// Returns the service time: the time that the target takes for a request that does not
+    /// queue.
     #[must_use]
     pub fn work(&self) -> Duration {
         self.work
     }
 
-    /// Forgets a flow of which the target has given a packet back, as it does not hold the flow.
+    /// Removes a flow after the target returned one of its packets because it does not hold the
+    /// flow.
     ///
-    /// Returns the number of the byte that the caller expects next, if the flow was open here: it has ended
-    /// with an earlier run of the target.
+    /// Returns the sequence number that the caller expects next if the flow was open here: it
+    /// ended with an earlier run of the target.
     pub fn remove_returned(&mut self, flow: &FlowTuple) -> Option<u32> {
         let known = self.flows.remove(flow)?;
         (known.stage == Stage::Open).then_some(known.caller_expects)
     }
 
-    /// Takes in that another run of the target has begun, and all that was learned of the run before is over.
+    /// Resets all measurements, as another run of the target has begun.
     ///
-    /// Flows taken before `ended` went with that run, and are forgotten. Returns those of them that were open.
+    /// Flows taken before `ended` belonged to the previous run and are removed. Returns those of
+    /// them that were open.
     pub fn new_run(&mut self, ended: Option<Timestamp>) -> Vec<EndedFlow> {
         self.work = INITIAL_SERVICE_TIME;
         self.outcomes = Outcomes::default();
@@ -306,16 +323,16 @@
         self.last_answer = Timestamp::default();
         self.heard();
         let Some(ended) = ended else { return Vec::new() };
-        let gone: Vec<FlowTuple> =
-            self.flows.iter().filter(|(_, f)| f.taken < ended).map(|(flow, _)| *flow).collect();
+        let lost: Vec<FlowTuple> =
+            self.flows.iter().filter(|(_, f)| f.taken_at < ended).map(|(flow, _)| *flow).collect();
         let ended = |flow: FlowTuple| {
             let caller_expects = self.remove_returned(&flow)?;
             Some(EndedFlow { flow, caller_expects })
         };
-        gone.into_iter().filter_map(ended).collect()
+        lost.into_iter().filter_map(ended).collect()
     }
 
-    /// Returns the open flows, with the number with which the target began.
+    /// Returns the open flows, with the target's initial sequence number.
     pub fn open(&self) -> impl Iterator<Item = (FlowTuple, Option<u32>)> {
         self.flows
             .iter()
@@ -323,7 +340,8 @@
             .map(|(tuple, flow)| (*tuple, flow.target_seq))
     }
 
-    /// Returns the flows that the target has accepted, with the number with which it began, and whether they are open.
+    /// Returns the flows that the target has accepted, with its initial sequence number and
+    /// whether they are open.
     pub fn accepted(&self) -> impl Iterator<Item = (FlowTuple, Option<u32>, bool)> {
         self.flows.iter().filter_map(|(tuple, flow)| match flow.stage {
             Stage::Open => Some((*tuple, flow.target_seq, true)),
@@ -332,14 +350,14 @@
         })
     }
 
-    /// Returns the requests that have had no answer yet, flows that are about to bring one
-    /// included, and the open flows.
+    /// Returns the number of unanswered requests, including flows that are about to bring one,
+    /// and the number of open flows.
     #[must_use]
     pub fn load(&self, now: Timestamp) -> TargetLoad {
         let mut load = TargetLoad::default();
         for (_, flow) in self.flows.iter() {
-            let expected = !flow.began && now.since(flow.taken) < FIRST_REQUEST;
-            let running = flow.request.is_some_and(|since| now.since(since) < REQUEST_LIMIT);
+            let expected = !flow.had_request && now.since(flow.taken_at) < FIRST_REQUEST_WINDOW;
+            let running = flow.request.is_some_and(|since| now.since(since) < REQUEST_LIFETIME);
             match flow.stage {
                 Stage::Opening => load.requests += u32::from(expected),
                 Stage::Open => {
@@ -353,10 +371,10 @@
     }
 }
 
-/// What a target has to do.
+/// Load of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TargetLoad {
-    /// Requests without an answer.
+    /// Unanswered requests, including those expected on new flows.
     pub requests: u32,
     /// Open flows.
     pub flows: u32,
--- a/crates/dillmill-core/src/target_pace.rs
+++ b/crates/dillmill-core/src/target_pace.rs
@@ -1,23 +1,24 @@
-//! How fast a target works, as its agent sees it.
+//! Defines the speed of a target as measured by its agent.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What a target that has only just started may get, and has got.
+/// Request limit of a cold target, one that has only just started, and its use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdLoad {
-    /// Requests a second that it carries.
+    /// Requests per second that the cold target can carry.
     pub limit: u32,
-    /// Requests that it has got within the last second, and those that wait for it.
+    /// Requests that it received within the last second, and those that wait for it.
     pub received: u32,
 }
 
-/// How fast a target works.
+/// Speed of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetPace {
-    /// Time that it takes for a request that does not wait; zero where that is not known.
+    /// Service time: time that the target takes for a request that does not queue; zero if
+    /// unknown.
     pub work: Duration,
-    /// It has only just started and carries little.
+    /// Limit and use while the target is cold and can carry only little.
     pub cold: Option<ColdLoad>,
 }
--- a/crates/dillmill-core/src/target_run.rs
+++ b/crates/dillmill-core/src/target_run.rs
@@ -1,4 +1,4 @@
-//! How a run of a target names itself.
+//! Identifies a run of a target.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -9,12 +9,14 @@
 
 use crate::Timestamp;
 
-/// How much earlier than its agent a target may start that starts with it.
+/// How much earlier than its agent a target may start and still count as started together with
+/// it.
 const START_SLACK: Duration = Duration::from_millis(100);
 
-/// When a target started, in milliseconds since the Unix epoch by its own clock.
+/// Start time of a target, in milliseconds since the Unix epoch by its own clock.
 ///
-/// Clocks differ and jump: it names a run, and orders runs only together with other signs.
+/// Clocks differ and jump, so this identifies a run, and orders runs only in combination with
+/// other evidence.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -35,33 +37,34 @@
     }
 }
 
-/// One run of a target: a target that starts again is another run, also under the same id.
+/// One run of a target. A target that restarts is another run, even under the same id.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct TargetRun {
-    /// The id that it goes by.
+    /// Id that the target reports.
     pub id: String,
-    /// When it started, if it tells.
+    /// Start time, if the target reports one.
     pub started: Option<StartTime>,
 }
 
 impl TargetRun {
-    /// Creates the name of a run that does not tell when it started.
+    /// Creates the identity of a run that does not report its start time.
     #[must_use]
     pub fn new(id: impl Into<String>) -> Self {
         Self { id: id.into(), started: None }
     }
 
-    /// Sets when the run started.
+    /// Sets the start time.
     #[must_use]
     pub fn started(mut self, at: impl Into<Option<StartTime>>) -> Self {
         self.started = at.into();
         self
     }
 
-    /// Returns whether this run started later than `other`, as far as they tell.
+    /// Returns whether this run started later than `other`, as far as their start times are
+    /// known.
     ///
-    /// A run that does not tell is not later than one that does: whatever speaks at a target that tells its
-    /// start, tells it too.
+    /// A run without a start time is not later than one with a start time: any run at a target
+    /// that reports its start time reports it as well.
     #[must_use]
     pub fn later_than(&self, other: &Self) -> Option<bool> {
         match (self.started, other.started) {
@@ -73,9 +76,11 @@
 }
 
 impl TargetRun {
-    /// Returns whether the run started when the agent beside it did, at `agent`, or later, by the clock of their VM.
+    /// Returns whether the run started together with the agent beside it, which started at
+    /// `agent`, or later, by the clock of their VM.
     ///
-    /// A little before counts as with it: nobody else gives it flows, and a process that ends takes longer to start again.
+    /// A slightly earlier start counts as together: only this agent gives the target flows, and a
+    /// process that ends takes longer than that to start again.
     #[must_use]
     pub fn started_with(&self, agent: Timestamp) -> bool {
         self.started.is_some_and(|started| Timestamp::from_millis(started.0) + START_SLACK >= agent)
--- a/crates/dillmill-core/src/target_runs.rs
+++ b/crates/dillmill-core/src/target_runs.rs
@@ -1,48 +1,53 @@
-//! Which run of a target a heartbeat speaks for.
+//! Decides which run of a target a heartbeat belongs to, and when a new run replaces the current
+//! one.
 //!
-//! A heartbeat may come late: its sender may have crashed, and another run may have registered at the same
-//! address meanwhile, under another id or the same one. It must not take that run's place.
+//! A heartbeat may arrive late: its sender may have crashed, and another run may have registered
+//! at the same address meanwhile, under the same id or another. A late heartbeat must not replace
+//! that run.
 //!
-//! Where runs tell when they started, the later start is the later run. Clocks jump, so that order only holds
-//! against a run that still speaks: one with an earlier start takes over from a run that has fallen silent.
+//! If runs report when they started, the later start is the later run. Clocks jump, so this order
+//! only holds while the current run still sends heartbeats: a run with an earlier start replaces
+//! one that has fallen silent.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::{TargetRun, Timestamp};
 
-/// Heartbeats that a target which has only just started may have sent before one comes through: it tries some
-/// times more when the first ones fail.
+/// Highest heartbeat number at which a target still counts as just started. The first heartbeats
+/// may fail and be retried.
 pub const STARTUP_HEARTBEATS: u64 = 5;
-/// A run that has missed two heartbeats, and half an interval for the delay of the next, may be over.
+/// Heartbeat intervals without a heartbeat after which a run may have ended: two missed ones, and
+/// half an interval for the delay of the next.
 const HEARTBEATS_MISSED: f64 = 2.5;
-/// Heartbeats that were held up arrive together; those of a living run come at least this part of an interval
-/// apart.
-const PACE: f64 = 0.5;
-/// Earlier runs that are remembered; a heartbeat is held up for seconds, and a target needs some to start.
-const EARLIER_RUNS: usize = 8;
-
-/// What a heartbeat tells.
+/// Minimum spacing of a live run's heartbeats, as a fraction of the interval. Delayed heartbeats
+/// arrive together.
+const MIN_SPACING: f64 = 0.5;
+/// Number of earlier runs that are remembered. A heartbeat is delayed by seconds at most, and a
+/// target needs some seconds to start.
+const MAX_EARLIER_RUNS: usize = 8;
+
+/// Classification of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// The current run speaks.
+    /// The heartbeat is from the current run.
     Current,
-    /// Another run has taken its place.
+    /// The heartbeat is from another run, which is now the current one.
     NewRun(Predecessor),
-    /// It is older than what is known already, and tells nothing.
+    /// The heartbeat is older than what is already known, and is ignored.
     Late,
 }
 
-/// What a new run tells of the one that was current before.
+/// What a new run implies about the previous one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Predecessor {
-    /// There was none.
+    /// There was no previous run.
     None,
-    /// It is not certain when it ended, or that it has.
+    /// It is uncertain when the previous run ended, or whether it has.
     Unsure,
-    /// It lived at this time, and has ended since.
+    /// The previous run was alive at this time, and has ended since.
     Ended {
-        /// When it last spoke.
+        /// Time of its last heartbeat.
         lived: Timestamp,
     },
 }
@@ -50,38 +55,43 @@
 #[derive(Debug)]
 struct Run {
     name: TargetRun,
-    /// The highest number of a heartbeat so far.
+    /// Highest heartbeat number so far.
     number: u64,
-    heard: Timestamp,
-    /// Since when it has spoken though another run has its place.
-    speaks_again: Option<Timestamp>,
+    last_heard: Timestamp,
+    /// Time of its first heartbeat after it was replaced by another run.
+    heard_again_since: Option<Timestamp>,
 }
 
 impl Run {
-    fn new(name: &TargetRun, number: u64, speaks_again: Option<Timestamp>, now: Timestamp) -> Self {
-        Self { name: name.clone(), number, heard: now, speaks_again }
+    fn new(
+        name: &TargetRun,
+        number: u64,
+        heard_again_since: Option<Timestamp>,
+        now: Timestamp,
+    ) -> Self {
+        Self { name: name.clone(), number, last_heard: now, heard_again_since }
     }
 }
 
-/// The runs of one target, as its heartbeats tell of them.
+/// The runs of one target, as known from its heartbeats.
 #[derive(Debug)]
 pub struct TargetRuns {
-    every: Duration,
+    interval: Duration,
     current: Option<Run>,
     earlier: VecDeque<Run>,
 }
 
 impl TargetRuns {
-    /// Creates the record of a target that sends a heartbeat `every` so often.
+    /// Creates the record of a target that sends a heartbeat every `interval`.
     #[must_use]
-    pub fn new(every: Duration) -> Self {
-        Self { every, current: None, earlier: VecDeque::new() }
+    pub fn new(interval: Duration) -> Self {
+        Self { interval, current: None, earlier: VecDeque::new() }
     }
 
-    /// Returns whether a word of `run` that it ends may be the current run's.
+    /// Returns whether a message that `run` is ending may be from the current run.
     ///
-    /// A word without a start can't be told from one of an earlier run with the same id, so it counts only if
-    /// the current run has `announced` its end.
+    /// A message without a start time cannot be told from one of an earlier run with the same id,
+    /// so it is accepted only if the current run has `announced` its end.
     #[must_use]
     pub fn may_end(&self, run: &TargetRun, announced: bool) -> bool {
         let Some(current) = &self.current else { return true };
@@ -97,48 +107,49 @@
         self.current.as_ref().is_some_and(|current| current.name == *run)
     }
 
-    /// Takes in the heartbeat `number` of `run`.
+    /// Records heartbeat `number` of `run`, and classifies it.
     pub fn heartbeat(&mut self, run: &TargetRun, number: u64, now: Timestamp) -> HeartbeatOutcome {
         if let Some(current) = self.current.as_mut().filter(|current| current.name == *run) {
             if number <= current.number {
                 return HeartbeatOutcome::Late;
             }
             current.number = number;
-            current.heard = now;
+            current.last_heard = now;
             return HeartbeatOutcome::Current;
         }
-        let current_speaks = self.current_speaks(now);
+        let current_is_live = self.current_is_live(now);
         if let Some(i) = self.earlier.iter().position(|earlier| earlier.name == *run) {
-            let lives = speaks_at_pace(&mut self.earlier[i], number, self.every, now);
-            if !lives || current_speaks {
+            let lives = keeps_pace(&mut self.earlier[i], number, self.interval, now);
+            if !lives || current_is_live {
                 return HeartbeatOutcome::Late;
             }
-            // The run that took its place was the one whose heartbeat came late.
+            // The run that replaced it was the one whose heartbeat was late.
             self.earlier.remove(i);
             return self.replace(run, number, Predecessor::Unsure, now);
         }
         let order = self.current.as_ref().and_then(|current| run.later_than(&current.name));
         if order == Some(false) {
-            // Its clock may have been put back before it started: the pace of what follows shows whether it lives.
+            // Its clock may have been set back before it started. The spacing of its next
+            // heartbeats shows whether it is alive.
             self.remember(Run::new(run, number, Some(now), now));
             return HeartbeatOutcome::Late;
         }
-        if order.is_none() && current_speaks && number > STARTUP_HEARTBEATS {
+        if order.is_none() && current_is_live && number > STARTUP_HEARTBEATS {
             return HeartbeatOutcome::Late;
         }
-        // Only a run that has just started proves that its predecessor's flows are over.
+        // Only a run that has just started proves that the flows of the previous run have ended.
         let ended = order == Some(true) && number <= STARTUP_HEARTBEATS;
         let predecessor = match &self.current {
             None => Predecessor::None,
-            Some(current) if ended => Predecessor::Ended { lived: current.heard },
+            Some(current) if ended => Predecessor::Ended { lived: current.last_heard },
             Some(_) => Predecessor::Unsure,
         };
         self.replace(run, number, predecessor, now)
     }
 
-    fn current_speaks(&self, now: Timestamp) -> bool {
-        let limit = self.every.mul_f64(HEARTBEATS_MISSED);
-        self.current.as_ref().is_some_and(|run| now.since(run.heard) < limit)
+    fn current_is_live(&self, now: Timestamp) -> bool {
+        let limit = self.interval.mul_f64(HEARTBEATS_MISSED);
+        self.current.as_ref().is_some_and(|run| now.since(run.last_heard) < limit)
     }
 
     fn replace(
@@ -156,18 +167,19 @@
 
     fn remember(&mut self, run: Run) {
         self.earlier.push_back(run);
-        if self.earlier.len() > EARLIER_RUNS {
+        if self.earlier.len() > MAX_EARLIER_RUNS {
             self.earlier.pop_front();
         }
     }
 }
 
-/// Takes in a heartbeat of an earlier run, and returns whether the run lives: it keeps the pace of one.
-fn speaks_at_pace(run: &mut Run, number: u64, every: Duration, now: Timestamp) -> bool {
+/// Records a heartbeat of an earlier run, and returns whether the run is alive, judged by the
+/// spacing of its heartbeats.
+fn keeps_pace(run: &mut Run, number: u64, interval: Duration, now: Timestamp) -> bool {
     if number <= run.number {
         return false;
     }
     run.number = number;
-    let since = *run.speaks_again.get_or_insert(now);
-    now.since(since) >= every.mul_f64(PACE)
+    let since = *run.heard_again_since.get_or_insert(now);
+    now.since(since) >= interval.mul_f64(MIN_SPACING)
 }
--- a/crates/dillmill-core/src/warm_up.rs
+++ b/crates/dillmill-core/src/warm_up.rs
@@ -1,12 +1,12 @@
-//! Slots of a target that has just started.
+//! Ramps up the slots of a target that has just started.
 
 use std::time::Duration;
 
 use crate::{Slots, Timestamp};
 
-/// Returns the slots that a target gets `now` if it accepts connections since `since`.
+/// Returns the slots that a target has `now` if it has accepted connections since `since`.
 ///
-/// A cold target is slow; it gets its slots one after the other over `warm_up`, the first at once.
+/// A cold target is slow, so it gets its slots one by one over `warm_up`, the first one at once.
 ///
 /// ```
 /// use std::time::Duration;
