--- a/crates/dillmill-standins/src/flow_caller.rs
+++ b/crates/dillmill-standins/src/flow_caller.rs
@@ -27,7 +27,7 @@
 
 /// How a flow ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FlowEnd {
+pub enum FlowError {
     /// It was reset.
     Reset,
     /// Nothing came.
@@ -69,7 +69,7 @@
     /// # Errors
     ///
     /// Says how it ended instead.
-    pub async fn open(&self, route: SocketAddrV4) -> Result<OpenFlow<'_>, FlowEnd> {
+    pub async fn open(&self, route: SocketAddrV4) -> Result<OpenFlow<'_>, FlowError> {
         let port = self.next_port.get();
         self.next_port.set(port + 1);
         let flow = FlowTuple::new(SocketAddrV4::new(self.ip, port), route);
@@ -82,13 +82,13 @@
                 continue;
             };
             if seg.kind == SegmentKind::Reset {
-                return Err(FlowEnd::Reset);
+                return Err(FlowError::Reset);
             }
             let open = OpenFlow { caller: self, flow, rx, seq: 2, ack: seg.seq.wrapping_add(1) };
             self.send(&Segment { seq: 2, ack: open.ack, ..blank(flow) }, b"").await;
             return Ok(open);
         }
-        Err(FlowEnd::Silent)
+        Err(FlowError::Silent)
     }
 
     async fn send(&self, seg: &Segment, data: &[u8]) {
@@ -130,7 +130,7 @@
     /// # Errors
     ///
     /// Says how the flow ended instead.
-    pub async fn request(&mut self) -> Result<String, FlowEnd> {
+    pub async fn request(&mut self) -> Result<String, FlowError> {
         const REQUEST: &[u8] = b"who are you?";
         for wait in REQUEST_WAITS {
             let seg = Segment { seq: self.seq, ack: self.ack, ..blank(self.flow) };
@@ -140,7 +140,7 @@
                 return end;
             }
         }
-        Err(FlowEnd::Silent)
+        Err(FlowError::Silent)
     }
 
     /// Waits for a reset that no request has asked for.
@@ -155,11 +155,11 @@
         compio::time::timeout(limit, wait).await.is_ok()
     }
 
-    async fn answer(&mut self) -> Result<String, FlowEnd> {
+    async fn answer(&mut self) -> Result<String, FlowError> {
         let expected = self.seq.wrapping_add(12);
         while let Ok((seg, data)) = self.rx.recv_async().await {
             match seg.kind {
-                SegmentKind::Reset => return Err(FlowEnd::Reset),
+                SegmentKind::Reset => return Err(FlowError::Reset),
                 // Copies of answers to earlier tries are not this one's.
                 SegmentKind::Data if seg.ack == expected => {
                     self.seq = expected;
@@ -169,6 +169,6 @@
                 _ => {}
             }
         }
-        Err(FlowEnd::Silent)
+        Err(FlowError::Silent)
     }
 }
--- a/crates/dillmill-standins/src/flow_soak.rs
+++ b/crates/dillmill-standins/src/flow_soak.rs
@@ -3,7 +3,7 @@
 //!
 //! Everything that is drawn comes from the seed; how processes and callers interleave does not.
 
-mod facts;
+mod expectations;
 mod faults;
 mod soak_report;
 
@@ -13,13 +13,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use facts::{Facts, Shared};
+use expectations::{Facts, Shared};
 use faults::Faults;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 pub use soak_report::SoakReport;
 
-use crate::flow_caller::FlowEnd;
+use crate::flow_caller::FlowError;
 use crate::flow_fleet::FleetLayout;
 use crate::{FlowCaller, FlowFleet, StandinError};
 
@@ -55,7 +55,7 @@
         .iter()
         .flat_map(|service| (1..=TARGETS).map(move |n| format!("{service}-{n}")))
         .collect();
-    let facts = Rc::new(RefCell::new(Facts {
+    let expectations = Rc::new(RefCell::new(Facts {
         started,
         report: SoakReport::default(),
         living: names.iter().cloned().collect(),
@@ -66,10 +66,12 @@
     let mut tasks = Vec::new();
     for n in 0..CALLERS {
         let caller = fleet.caller(n).await?;
-        let load = call(caller, fleet.route(), facts.clone(), rng.random(), started + length);
+        let load =
+            call(caller, fleet.route(), expectations.clone(), rng.random(), started + length);
         tasks.push(compio::runtime::spawn(load));
     }
-    let mut faults = Faults { rng, names, facts: facts.clone(), runs: 0, version: 1, zones };
+    let mut faults =
+        Faults { rng, names, expectations: expectations.clone(), runs: 0, version: 1, zones };
     while started.elapsed() < length {
         faults.next(&mut fleet).await?;
         let pause = faults.rng.random_range(50..700);
@@ -79,7 +81,7 @@
         task.await.map_err(|_| StandinError::new("join a caller", "it panicked"))?;
     }
     faults.settle(&mut fleet).await?;
-    let mut report = std::mem::take(&mut facts.borrow_mut().report);
+    let mut report = std::mem::take(&mut expectations.borrow_mut().report);
     if !report.broken.is_empty() {
         report.logs = Some(fleet.keep_logs());
     }
@@ -122,7 +124,13 @@
 }
 
 /// A caller that keeps one flow for many requests and opens others for one each.
-async fn call(caller: FlowCaller, route: SocketAddrV4, facts: Shared, seed: u64, until: Instant) {
+async fn call(
+    caller: FlowCaller,
+    route: SocketAddrV4,
+    expectations: Shared,
+    seed: u64,
+    until: Instant,
+) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut kept = None;
     while Instant::now() < until {
@@ -133,20 +141,20 @@
         } else if let Ok(flow) = caller.open(route).await {
             (flow, (None, at))
         } else {
-            facts.borrow_mut().report.ended += 1;
+            expectations.borrow_mut().report.ended += 1;
             continue;
         };
         let (before, opened) = owner;
         match flow.request().await {
             Ok(run) => {
-                facts.borrow_mut().check_answer(before.as_deref(), &run, opened);
+                expectations.borrow_mut().check_answer(before.as_deref(), &run, opened);
                 kept = Some((flow, (Some(run), opened)));
             }
-            Err(FlowEnd::Reset) => match before {
-                Some(run) => facts.borrow_mut().check_reset(&run),
-                None => facts.borrow_mut().report.ended += 1,
+            Err(FlowError::Reset) => match before {
+                Some(run) => expectations.borrow_mut().check_reset(&run),
+                None => expectations.borrow_mut().report.ended += 1,
             },
-            Err(FlowEnd::Silent) => facts.borrow_mut().report.ended += 1,
+            Err(FlowError::Silent) => expectations.borrow_mut().report.ended += 1,
         }
         compio::time::sleep(Duration::from_millis(rng.random_range(10..120))).await;
     }
--- a/crates/dillmill-standins/src/flow_soak/faults.rs
+++ b/crates/dillmill-standins/src/flow_soak/faults.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-use super::facts::{Shared, vm_of};
+use super::expectations::{Shared, vm_of};
 use super::{BALANCERS, CALLERS, IN_FORCE, SERVICES};
 use crate::flow_fleet::wait;
 use crate::flow_proxy::ProxyMode;
@@ -17,7 +17,7 @@
 pub(super) struct Faults {
     pub(super) rng: StdRng,
     pub(super) names: Vec<String>,
-    pub(super) facts: Shared,
+    pub(super) expectations: Shared,
     pub(super) runs: u32,
     pub(super) version: u64,
     pub(super) zones: u8,
@@ -34,9 +34,9 @@
     }
 
     fn disturb(&self, vm: &str, what: &str) {
-        let mut facts = self.facts.borrow_mut();
-        facts.act(&format!("{what} {vm}"));
-        facts.disturbed.insert(vm.to_owned(), Instant::now());
+        let mut expectations = self.expectations.borrow_mut();
+        expectations.act(&format!("{what} {vm}"));
+        expectations.disturbed.insert(vm.to_owned(), Instant::now());
     }
 
     fn short(&mut self, most_ms: u64) -> Duration {
@@ -58,7 +58,7 @@
             12.. => self.evacuate(fleet).await,
             _ => {
                 let vm = self.any_vm();
-                self.facts.borrow_mut().act(&format!("hang up {vm}"));
+                self.expectations.borrow_mut().act(&format!("hang up {vm}"));
                 fleet.hang_up(&vm)
             }
         }
@@ -82,9 +82,9 @@
 
     async fn stop(&mut self, fleet: &mut FlowFleet) -> Result<(), StandinError> {
         let vm = self.any_vm();
-        self.facts.borrow_mut().act(&format!("stop {vm}"));
+        self.expectations.borrow_mut().act(&format!("stop {vm}"));
         if !fleet.stop(&vm).await? {
-            self.facts.borrow_mut().breaks(&format!("{vm} did not stop as planned"));
+            self.expectations.borrow_mut().breaks(&format!("{vm} did not stop as planned"));
         }
         fleet.run(&vm)
     }
@@ -104,35 +104,37 @@
         self.runs += 1;
         let run = format!("{vm}/{}", self.runs);
         {
-            let mut facts = self.facts.borrow_mut();
-            facts.act(&format!("replace target by {run}"));
-            facts.living.retain(|living| vm_of(living) != vm);
+            let mut expectations = self.expectations.borrow_mut();
+            expectations.act(&format!("replace target by {run}"));
+            expectations.living.retain(|living| vm_of(living) != vm);
         }
         // Callers open flows at the new run before it has spoken.
         let silence = self.short(500);
         fleet.run_silent_target(&vm, &run, silence).await?;
-        self.facts.borrow_mut().living.insert(run);
+        self.expectations.borrow_mut().living.insert(run);
         Ok(())
     }
 
     /// Has a target leave, holds it to its word for a while, and puts another run in its place.
     async fn drain_target(&mut self, fleet: &mut FlowFleet) -> Result<(), StandinError> {
         let vm = self.names[self.rng.random_range(0..self.names.len())].clone();
-        self.facts.borrow_mut().act(&format!("drain target of {vm}"));
+        self.expectations.borrow_mut().act(&format!("drain target of {vm}"));
         fleet.target(&vm)?.drain();
         compio::time::sleep(IN_FORCE).await;
         if fleet.target(&vm)?.drain_acknowledged() {
             let opened = fleet.target(&vm)?.opened();
             compio::time::sleep(self.short(800)).await;
             if fleet.target(&vm)?.opened() > opened {
-                self.facts.borrow_mut().breaks(&format!("leaving target of {vm} got a new flow"));
+                self.expectations
+                    .borrow_mut()
+                    .breaks(&format!("leaving target of {vm} got a new flow"));
             }
         }
         self.runs += 1;
         let run = format!("{vm}/{}", self.runs);
-        self.facts.borrow_mut().living.retain(|living| vm_of(living) != vm);
+        self.expectations.borrow_mut().living.retain(|living| vm_of(living) != vm);
         fleet.run_target(&vm, &run).await?;
-        self.facts.borrow_mut().living.insert(run);
+        self.expectations.borrow_mut().living.insert(run);
         Ok(())
     }
 
@@ -140,25 +142,25 @@
         let service = SERVICES[self.rng.random_range(0..SERVICES.len())];
         let changes = self.rng.random_range(1..=4);
         // Processes may follow before the store's answer is here; the time limit runs from that answer on.
-        self.facts.borrow_mut().routes.push((Instant::now(), service));
+        self.expectations.borrow_mut().routes.push((Instant::now(), service));
         for _ in 0..changes {
             self.version += self.rng.random_range(1..=3);
             fleet.set_route(self.version, service).await?;
         }
         self.forgive_route();
-        self.facts.borrow_mut().act(&format!("route to {service} in {changes} changes"));
+        self.expectations.borrow_mut().act(&format!("route to {service} in {changes} changes"));
         Ok(())
     }
 
     /// Orders one of the data centres to be evacuated, or takes the order back.
     async fn evacuate(&mut self, fleet: &FlowFleet) -> Result<(), StandinError> {
-        let before = self.facts.borrow_mut().evacuated.take();
+        let before = self.expectations.borrow_mut().evacuated.take();
         let zone = before.map_or_else(|| self.rng.random_range(1..=self.zones), |(zone, _)| zone);
         let ordered = before.is_none();
         fleet.evacuate(&format!("zone-{zone}"), ordered).await?;
-        let mut facts = self.facts.borrow_mut();
-        facts.act(&format!("zone-{zone} is to get no new flows: {ordered}"));
-        facts.evacuated = ordered.then(|| (zone, Instant::now()));
+        let mut expectations = self.expectations.borrow_mut();
+        expectations.act(&format!("zone-{zone} is to get no new flows: {ordered}"));
+        expectations.evacuated = ordered.then(|| (zone, Instant::now()));
         Ok(())
     }
 
@@ -168,11 +170,11 @@
             1 => PlatformFaults { slow_ms: 200, ..PlatformFaults::default() },
             _ => PlatformFaults { forget_history: true, ..PlatformFaults::default() },
         };
-        self.facts.borrow_mut().act(&format!("store {faults:?}"));
+        self.expectations.borrow_mut().act(&format!("store {faults:?}"));
         fleet.store_faults(&faults).await?;
         compio::time::sleep(self.short(2500)).await;
         fleet.store_faults(&PlatformFaults::default()).await?;
-        self.facts.borrow_mut().act("store mended");
+        self.expectations.borrow_mut().act("store mended");
         self.forgive_route();
         Ok(())
     }
@@ -184,29 +186,29 @@
             2 => ProxyMode::OneWay,
             _ => ProxyMode::Reset,
         };
-        self.facts.borrow_mut().act(&format!("way to the store {mode:?}"));
+        self.expectations.borrow_mut().act(&format!("way to the store {mode:?}"));
         fleet.proxy().set(mode);
         compio::time::sleep(self.short(2500)).await;
         fleet.proxy().set(ProxyMode::Pass);
-        self.facts.borrow_mut().act("way to the store mended");
+        self.expectations.borrow_mut().act("way to the store mended");
         self.forgive_route();
         Ok(())
     }
 
     /// A change of a route, or an order to evacuate, that was made while the store could not be read counts from its return.
     fn forgive_route(&self) {
-        let mut facts = self.facts.borrow_mut();
-        if let Some((since, _)) = facts.routes.last_mut() {
+        let mut expectations = self.expectations.borrow_mut();
+        if let Some((since, _)) = expectations.routes.last_mut() {
             *since = Instant::now();
         }
-        if let Some((_, since)) = &mut facts.evacuated {
+        if let Some((_, since)) = &mut expectations.evacuated {
             *since = Instant::now();
         }
     }
 
     /// After all faults everything must serve again.
     pub(super) async fn settle(&mut self, fleet: &mut FlowFleet) -> Result<(), StandinError> {
-        if self.facts.borrow().evacuated.is_some() {
+        if self.expectations.borrow().evacuated.is_some() {
             self.evacuate(fleet).await?;
         }
         let router = fleet.router();
@@ -225,7 +227,9 @@
             }
         }
         if ends.len() > 2 {
-            self.facts.borrow_mut().breaks(&format!("of 20 at the end: {}", ends.join(", ")));
+            self.expectations
+                .borrow_mut()
+                .breaks(&format!("of 20 at the end: {}", ends.join(", ")));
         }
         Ok(())
     }
--- a/crates/dillmill-standins/src/lib.rs
+++ b/crates/dillmill-standins/src/lib.rs
@@ -36,5 +36,5 @@
 pub use caller::{Answer, Caller};
 pub use cluster::{Cluster, ClusterSpec, ServiceSpec};
 pub use error::StandinError;
-pub use flow_caller::{FlowCaller, FlowEnd, OpenFlow};
+pub use flow_caller::{FlowCaller, FlowError, OpenFlow};
 pub use flow_fleet::FlowFleet;
--- a/crates/dillmill-standins/tests/evacuated_fleets.rs
+++ b/crates/dillmill-standins/tests/evacuated_fleets.rs
@@ -5,7 +5,7 @@
 use dillmill_standins::flow_fleet::{FleetLayout, wait};
 use dillmill_standins::flow_target::FlowTarget;
 use dillmill_standins::platform::PlatformFaults;
-use dillmill_standins::{FlowCaller, FlowEnd, FlowFleet, OpenFlow, StandinError};
+use dillmill_standins::{FlowCaller, FlowError, FlowFleet, OpenFlow, StandinError};
 
 const LIMIT: Duration = Duration::from_secs(15);
 /// Targets are in `zone-1` and `zone-2` by turns.
@@ -131,7 +131,7 @@
         compio::time::sleep(Duration::from_secs(2)).await;
         for _ in 0..5 {
             let started = std::time::Instant::now();
-            assert_eq!(caller.open(fleet.route()).await.err(), Some(FlowEnd::Reset));
+            assert_eq!(caller.open(fleet.route()).await.err(), Some(FlowError::Reset));
             assert!(started.elapsed() < Duration::from_millis(150), "{:?}", started.elapsed());
         }
         for (flow, target) in &mut flows {
--- a/crates/dillmill-standins/tests/flow_fleets.rs
+++ b/crates/dillmill-standins/tests/flow_fleets.rs
@@ -5,7 +5,7 @@
 
 use dillmill_standins::flow_fleet::wait;
 use dillmill_standins::platform::PlatformFaults;
-use dillmill_standins::{FlowCaller, FlowEnd, FlowFleet, OpenFlow, StandinError};
+use dillmill_standins::{FlowCaller, FlowError, FlowFleet, OpenFlow, StandinError};
 use futures_util::future::join_all;
 use rstest::rstest;
 
@@ -47,7 +47,7 @@
 }
 
 /// Asks on every flow, and returns who answered.
-async fn ask(flows: &mut [OpenFlow<'_>]) -> Vec<Result<String, FlowEnd>> {
+async fn ask(flows: &mut [OpenFlow<'_>]) -> Vec<Result<String, FlowError>> {
     let mut answers = Vec::new();
     for flow in flows {
         answers.push(flow.request().await);
--- a/crates/dillmillctl/src/explain.rs
+++ b/crates/dillmillctl/src/explain.rs
@@ -5,7 +5,7 @@
 mod flow_report;
 mod gaps;
 mod plot;
-mod process_names;
+mod process_vms;
 mod second;
 mod span;
 mod span_page;
--- a/crates/dillmillctl/src/explain/flow_path.rs
+++ b/crates/dillmillctl/src/explain/flow_path.rs
@@ -5,7 +5,7 @@
 use super::flow_end::FlowEnd;
 use super::flow_report::{FlowDecision, FlowReport};
 use super::gaps::Gaps;
-use super::process_names::ProcessNames;
+use super::process_vms::ProcessNames;
 use crate::logs::{LogLine, LogTime, Unreadable};
 
 /// One decision on the flow.
