--- a/crates/dillmill-standins/src/flow_caller.rs
+++ b/crates/dillmill-standins/src/flow_caller.rs
@@ -1,4 +1,4 @@
-//! A caller of packet flows.
+//! Stand-in for callers of packet flows: opens flows, sends requests and retransmits them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,24 +17,24 @@
 
 const MAX_DATAGRAM: usize = 2048;
 const FIRST_PORT: u16 = 1024;
-/// When the copies of an opening packet follow, and when the caller gives up.
-const OPEN_WAITS: [Duration; 3] =
+/// Time after each copy of an opening packet until the next copy is sent or the caller gives up.
+const OPEN_TIMEOUTS: [Duration; 3] =
     [Duration::from_millis(200), Duration::from_millis(400), Duration::from_millis(800)];
-/// Waits between the tries of a request.
-const REQUEST_WAITS: [u64; 6] = [200, 200, 400, 800, 1600, 1600];
+/// Time in milliseconds after each copy of a request until the next copy is sent or the caller gives up.
+const REQUEST_TIMEOUTS_MS: [u64; 6] = [200, 200, 400, 800, 1600, 1600];
 
 type Inbox = flume::Sender<(Segment, Vec<u8>)>;
 
-/// How a flow ended for its caller.
+/// Reason why a flow failed for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowError {
-    /// It was reset.
+    /// A reset arrived.
     Reset,
-    /// Nothing came.
+    /// No answer arrived before the caller gave up.
     Silent,
 }
 
-/// A host of callers; it ends when it is dropped.
+/// A host from which callers open flows; its receiving task ends when it is dropped.
 pub struct FlowCaller {
     ip: Ipv4Addr,
     socket: UdpSocket,
@@ -45,7 +45,7 @@
 }
 
 impl FlowCaller {
-    /// Binds the host's address; `port` is that of the balancers' packets.
+    /// Binds the host's address; `port` is the port of the balancers' packets.
     ///
     /// # Errors
     ///
@@ -59,7 +59,7 @@
         let socket =
             UdpSocket::bind(addr).await.map_err(StandinError::at(format!("bind caller {addr}")))?;
         let inboxes: Rc<RefCell<HashMap<FlowTuple, Inbox>>> = Rc::default();
-        let task = compio::runtime::spawn(take_packets(socket.clone(), inboxes.clone()));
+        let task = compio::runtime::spawn(receive_packets(socket.clone(), inboxes.clone()));
         let next_port = Cell::new(FIRST_PORT);
         Ok(Self { ip, socket, router, inboxes, next_port, _task: task })
     }
@@ -68,16 +68,17 @@
     ///
     /// # Errors
     ///
-    /// Says how it ended instead.
+    /// Fails if the flow is reset or nothing arrives for the opening packets.
     pub async fn open(&self, route: SocketAddrV4) -> Result<OpenFlow<'_>, FlowError> {
         let port = self.next_port.get();
         self.next_port.set(port + 1);
         let flow = FlowTuple::new(SocketAddrV4::new(self.ip, port), route);
         let (tx, rx) = flume::unbounded();
         self.inboxes.borrow_mut().insert(flow, tx);
-        for (copies, wait) in (0..).zip(OPEN_WAITS) {
+        for (copies, wait) in (0..).zip(OPEN_TIMEOUTS) {
             let kind = SegmentKind::Open { copies };
-            self.send(&Segment { flow, kind, seq: 1, ack: copies, ..blank(flow) }, b"").await;
+            self.send(&Segment { flow, kind, seq: 1, ack: copies, ..data_segment(flow) }, b"")
+                .await;
             let Ok(Ok((seg, _))) = compio::time::timeout(wait, rx.recv_async()).await else {
                 continue;
             };
@@ -85,7 +86,7 @@
                 return Err(FlowError::Reset);
             }
             let open = OpenFlow { caller: self, flow, rx, seq: 2, ack: seg.seq.wrapping_add(1) };
-            self.send(&Segment { seq: 2, ack: open.ack, ..blank(flow) }, b"").await;
+            self.send(&Segment { seq: 2, ack: open.ack, ..data_segment(flow) }, b"").await;
             return Ok(open);
         }
         Err(FlowError::Silent)
@@ -97,11 +98,11 @@
     }
 }
 
-fn blank(flow: FlowTuple) -> Segment {
+fn data_segment(flow: FlowTuple) -> Segment {
     Segment { flow, kind: SegmentKind::Data, seq: 0, ack: 0, len: 0, returned: false, mark: 0 }
 }
 
-async fn take_packets(socket: UdpSocket, inboxes: Rc<RefCell<HashMap<FlowTuple, Inbox>>>) {
+async fn receive_packets(socket: UdpSocket, inboxes: Rc<RefCell<HashMap<FlowTuple, Inbox>>>) {
     loop {
         let BufResult(outcome, buf) = socket.recv_from(Vec::with_capacity(MAX_DATAGRAM)).await;
         if outcome.is_err() {
@@ -109,7 +110,7 @@
         }
         let Ok(seg) = packet::decode(&buf, Sender::Target) else { continue };
         if let Some(tx) = inboxes.borrow().get(&seg.flow) {
-            // Fails only for a flow that is not waited for any more.
+            // Fails only if the flow was dropped in the meantime.
             let _ = tx.send((seg, buf[HEADER_LEN..].to_vec()));
         }
     }
@@ -125,15 +126,15 @@
 }
 
 impl OpenFlow<'_> {
-    /// Sends a request and returns the name of the target that has answered.
+    /// Sends a request and returns the name of the target that answered.
     ///
     /// # Errors
     ///
-    /// Says how the flow ended instead.
+    /// Fails if the flow is reset or no answer arrives.
     pub async fn request(&mut self) -> Result<String, FlowError> {
         const REQUEST: &[u8] = b"who are you?";
-        for wait in REQUEST_WAITS {
-            let seg = Segment { seq: self.seq, ack: self.ack, ..blank(self.flow) };
+        for wait in REQUEST_TIMEOUTS_MS {
+            let seg = Segment { seq: self.seq, ack: self.ack, ..data_segment(self.flow) };
             self.caller.send(&seg, REQUEST).await;
             let wait = Duration::from_millis(wait);
             if let Ok(end) = compio::time::timeout(wait, self.answer()).await {
@@ -143,7 +144,7 @@
         Err(FlowError::Silent)
     }
 
-    /// Waits for a reset that no request has asked for.
+    /// Returns whether a reset arrives within `limit` without a request being sent.
     pub async fn reset_within(&mut self, limit: Duration) -> bool {
         let wait = async {
             while let Ok((seg, _)) = self.rx.recv_async().await {
@@ -160,7 +161,7 @@
         while let Ok((seg, data)) = self.rx.recv_async().await {
             match seg.kind {
                 SegmentKind::Reset => return Err(FlowError::Reset),
-                // Copies of answers to earlier tries are not this one's.
+                // Late copies of answers to earlier requests acknowledge other bytes and are ignored.
                 SegmentKind::Data if seg.ack == expected => {
                     self.seq = expected;
                     self.ack = seg.seq.wrapping_add(u32::from(seg.len));
--- a/crates/dillmill-standins/src/flow_fleet.rs
+++ b/crates/dillmill-standins/src/flow_fleet.rs
@@ -1,4 +1,5 @@
-//! Balancers and agents of packet flows as processes on loopback, with their surroundings.
+//! Fleets of balancers and agents for packet flows, run as processes on loopback with stand-ins for store,
+//! proxy, routers, targets and callers.
 
 mod fleet_layout;
 mod processes;
@@ -27,16 +28,16 @@
 use crate::subnet::Subnet;
 use crate::{FlowCaller, StandinError};
 
-const PACKETS: u16 = 18172;
-const METRICS: u16 = 18164;
-const STORE: u16 = 18169;
-const POLL: Duration = Duration::from_millis(25);
-const LIMIT: Duration = Duration::from_secs(20);
+const PACKET_PORT: u16 = 18172;
+const METRICS_PORT: u16 = 18164;
+const STORE_PORT: u16 = 18169;
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 const STORE_HOST: u8 = 1;
 const PROXY_HOST: u8 = 2;
 const FIRST_CALLER: u8 = 200;
 
-/// A fleet; all of its processes end when it is dropped.
+/// A running fleet; all of its processes end when it is dropped.
 pub struct FlowFleet {
     dir: TempDir,
     subnet: Subnet,
@@ -48,13 +49,14 @@
 }
 
 impl FlowFleet {
-    /// Keeps the folder with the logs of all processes, and returns it.
+    /// Keeps the folder with the logs of all processes after the fleet is dropped, and returns its path.
     pub fn keep_logs(&mut self) -> PathBuf {
         self.dir.disable_cleanup(true);
         self.dir.path().to_owned()
     }
 
-    /// Starts the store, `balancers` balancers, and for each service so many targets with agents.
+    /// Starts the store, `balancers` balancers, and for each service the given number of targets with
+    /// agents.
     ///
     /// The route with port 443 leads to the first service.
     ///
@@ -62,29 +64,29 @@
     ///
     /// Fails when a process can't be started or is not ready in time.
     pub async fn start(balancers: u8, services: &[(&str, u8)]) -> Result<Self, StandinError> {
-        Self::start_as(FleetLayout::default(), balancers, services).await
+        Self::start_with_layout(FleetLayout::default(), balancers, services).await
     }
 
-    /// The same, with balancers that are told that their links are of this rate.
+    /// Starts a fleet as [`start`](Self::start) does, with this link rate in the balancers' settings.
     ///
     /// # Errors
     ///
     /// As [`start`](Self::start).
-    pub async fn start_behind(
+    pub async fn start_with_link(
         link: Option<LinkRate>,
         balancers: u8,
         services: &[(&str, u8)],
     ) -> Result<Self, StandinError> {
         let layout = FleetLayout { link, ..FleetLayout::default() };
-        Self::start_as(layout, balancers, services).await
+        Self::start_with_layout(layout, balancers, services).await
     }
 
-    /// The same, with VMs that lie so.
+    /// Starts a fleet as [`start`](Self::start) does, with this layout of VMs.
     ///
     /// # Errors
     ///
     /// As [`start`](Self::start).
-    pub async fn start_as(
+    pub async fn start_with_layout(
         layout: FleetLayout,
         balancers: u8,
         services: &[(&str, u8)],
@@ -92,21 +94,21 @@
         let dir = tempfile::tempdir().map_err(StandinError::at("make a folder"))?;
         let subnet = Subnet::take();
         let ip = |host: u8| subnet.ip(u16::from(host));
-        let store_addr = SocketAddrV4::new(ip(STORE_HOST), STORE);
+        let store_addr = SocketAddrV4::new(ip(STORE_HOST), STORE_PORT);
         let args = ["platform".to_owned(), "--listen".to_owned(), store_addr.to_string()];
         let standins = program("dillmill-standins")?;
         let store_process = Process::spawn("platform", &standins, &args, dir.path())?;
-        let proxy_addr = SocketAddrV4::new(ip(PROXY_HOST), STORE);
+        let proxy_addr = SocketAddrV4::new(ip(PROXY_HOST), STORE_PORT);
         let proxy = FlowProxy::spawn(proxy_addr, store_addr).await?;
         let store = Store::new(format!("http://{store_addr}"))
             .map_err(|e| StandinError::new("make a client", e.current_context()))?;
         let mut hosts = 10_u8..;
         let mut host = || hosts.next().unwrap_or(u8::MAX);
-        let first = ip(10);
+        let first_peer = ip(10);
         let mut vms = BTreeMap::new();
         for n in 1..=balancers {
             let name = format!("balancer-{n}");
-            let mut vm = Vm::new(&name, ip(host()), None, proxy_addr, first)?;
+            let mut vm = Vm::new(&name, ip(host()), None, proxy_addr, first_peer)?;
             vm.settings.zone = layout.zone(n)?;
             vm.settings.link = layout.link;
             vms.insert(name, vm);
@@ -115,7 +117,7 @@
             for n in 1..=*targets {
                 let name = format!("{service}-{n}");
                 let service = service.parse().map_err(StandinError::at("name a service"))?;
-                let mut vm = Vm::new(&name, ip(host()), Some(service), proxy_addr, first)?;
+                let mut vm = Vm::new(&name, ip(host()), Some(service), proxy_addr, first_peer)?;
                 vm.settings.zone = layout.zone(n)?;
                 vms.insert(name, vm);
             }
@@ -139,17 +141,17 @@
         }
         let all = usize::from(balancers);
         let router = fleet.router.clone();
-        wait(LIMIT, "readiness of all balancers", || router.ready() == all).await?;
+        wait(PROCESS_TIMEOUT, "readiness of all balancers", || router.ready() == all).await?;
         Ok(fleet)
     }
 
     async fn wait_for_store(&self) -> Result<(), StandinError> {
         let started = Instant::now();
         while self.store.get(operator_key::DOCUMENT, Freshness::Newest).await.is_err() {
-            if started.elapsed() > LIMIT {
+            if started.elapsed() > PROCESS_TIMEOUT {
                 return Err(StandinError::new("wait", "the store does not answer"));
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -162,7 +164,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the store does.
+    /// Fails when the write to the store fails.
     pub async fn set_route(&self, version: u64, service: &str) -> Result<(), StandinError> {
         let service: ServiceName = service.parse().map_err(StandinError::at("name a service"))?;
         let route = Route {
@@ -182,11 +184,11 @@
         Ok(())
     }
 
-    /// Orders a data centre to be evacuated, or takes the order back.
+    /// Orders the evacuation of a data centre, or withdraws the order.
     ///
     /// # Errors
     ///
-    /// Fails when the store does.
+    /// Fails when the write to the store fails.
     pub async fn evacuate(&self, zone: &str, ordered: bool) -> Result<(), StandinError> {
         let key = operator_key::evacuation_key(zone);
         let done = if ordered {
@@ -213,7 +215,7 @@
         Ok(())
     }
 
-    /// Returns the address of the route.
+    /// Returns the address of the fleet's only route.
     #[must_use]
     pub fn route(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443)
@@ -225,7 +227,7 @@
         &self.proxy
     }
 
-    /// Returns the routers.
+    /// Returns the routers in front of the balancers.
     #[must_use]
     pub fn router(&self) -> &FlowRouter {
         &self.router
@@ -238,15 +240,15 @@
     /// Fails when its address can't be bound.
     pub async fn caller(&self, n: u8) -> Result<FlowCaller, StandinError> {
         let ip = self.subnet.ip(u16::from(FIRST_CALLER + n));
-        FlowCaller::spawn(ip, PACKETS, self.router.clone()).await
+        FlowCaller::spawn(ip, PACKET_PORT, self.router.clone()).await
     }
 }
 
-/// Waits up to `limit` until `done`.
+/// Waits up to `limit` until `done` returns true.
 ///
 /// # Errors
 ///
-/// Names `what` when the time is over.
+/// Fails after `limit`; the message names `what`.
 pub async fn wait(
     limit: Duration,
     what: &str,
@@ -255,9 +257,9 @@
     let started = Instant::now();
     while !done() {
         if started.elapsed() > limit {
-            return Err(StandinError::new("wait", format!("{what} did not come")));
+            return Err(StandinError::new("wait", format!("timed out waiting for {what}")));
         }
-        compio::time::sleep(POLL).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/dillmill-standins/src/flow_fleet/fleet_layout.rs
+++ b/crates/dillmill-standins/src/flow_fleet/fleet_layout.rs
@@ -1,13 +1,15 @@
+//! Layout of a fleet: link rate and data centres.
+
 use dillmill_core::{LinkRate, ZoneName};
 
 use crate::StandinError;
 
-/// How the VMs of a fleet lie.
+/// Links and data centres of the VMs of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetLayout {
-    /// The rate of the balancers' links, as they are told; `None` for no limit.
+    /// Link rate in the balancers' settings; `None` for no limit.
     pub link: Option<LinkRate>,
-    /// Data centres, `zone-1` and so on, in which the VMs of a kind lie by turns.
+    /// Number of data centres, named `zone-1` and so on, to which the VMs of a kind are assigned in turn.
     pub zones: u8,
 }
 
@@ -18,7 +20,7 @@
 }
 
 impl FleetLayout {
-    /// Returns the data centre of the `n`th VM of a kind, counted from 1.
+    /// Returns the data centre of the `n`th VM of a kind; `n` starts at 1.
     pub(super) fn zone(self, n: u8) -> Result<ZoneName, StandinError> {
         let name = format!("zone-{}", (n - 1) % self.zones + 1);
         name.parse().map_err(StandinError::at("name a data centre"))
--- a/crates/dillmill-standins/src/flow_fleet/processes.rs
+++ b/crates/dillmill-standins/src/flow_fleet/processes.rs
@@ -1,16 +1,16 @@
-//! Processes and targets of a fleet: started, killed, stopped, frozen, asked.
+//! Control of the processes and targets of a fleet: start, stop, kill, signals, logs and metrics.
 
 use std::time::Duration;
 
 use cyper::Client;
 
-use super::{FlowFleet, LIMIT, METRICS};
+use super::{FlowFleet, METRICS_PORT, PROCESS_TIMEOUT};
 use crate::StandinError;
 use crate::flow_target::FlowTarget;
 use crate::process::{Process, program};
 
 impl FlowFleet {
-    /// Starts the process of a VM, with `balancer-` in its name a balancer, else an agent.
+    /// Starts the process of a VM: an agent if its settings name a service, else a balancer.
     ///
     /// # Errors
     ///
@@ -22,14 +22,15 @@
         std::fs::write(&vm.file, vm.settings.to_string())
             .map_err(StandinError::at("write settings"))?;
         let role = if vm.settings.service.is_some() { "agent" } else { "balancer" };
-        let args = [role, "--platform", "--metrics-port", &METRICS.to_string()].map(str::to_owned);
+        let args =
+            [role, "--platform", "--metrics-port", &METRICS_PORT.to_string()].map(str::to_owned);
         let env = [(dillmill_platform::process_settings::PATH_VARIABLE, vm.file.as_path())];
         let process = Process::spawn_with(name, &program("dillmill")?, &args, &env, &dir)?;
         vm.process = Some(process);
         Ok(())
     }
 
-    /// Starts a run of the target of a VM.
+    /// Replaces the target of a VM by a new run named `id`.
     ///
     /// # Errors
     ///
@@ -38,7 +39,8 @@
         self.run_silent_target(name, id, Duration::ZERO).await
     }
 
-    /// The same, with a target that sends its first heartbeat after `silence`, and takes flows before.
+    /// Replaces the target as [`run_target`](Self::run_target) does; the new run takes flows at once, and
+    /// sends its first heartbeat after `silence`.
     ///
     /// # Errors
     ///
@@ -59,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails if the VM has no target.
     pub fn target(&self, name: &str) -> Result<&FlowTarget, StandinError> {
         let vm = self.vms.get(name).and_then(|vm| vm.target.as_ref());
         vm.ok_or_else(|| StandinError::new("find a target", name))
@@ -69,59 +71,59 @@
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails if the VM has no running process.
     pub fn kill(&mut self, name: &str) -> Result<(), StandinError> {
         self.vm(name)?.process.take().ok_or_else(|| StandinError::new("kill", name))?.kill();
         Ok(())
     }
 
-    /// Asks the process of a VM to stop, and returns whether it ended with success.
+    /// Requests the planned stop of the process of a VM, and returns whether it ended with success.
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails if the VM has no running process.
     pub async fn stop(&mut self, name: &str) -> Result<bool, StandinError> {
         let process = self.vm(name)?.process.take();
         let mut process = process.ok_or_else(|| StandinError::new("stop", name))?;
         process.terminate()?;
-        Ok(process.wait(LIMIT).await == Some(true))
+        Ok(process.wait(PROCESS_TIMEOUT).await == Some(true))
     }
 
-    /// Sends the process of a VM the signal that its settings have changed.
+    /// Sends SIGHUP to the process of a VM, on which it reads its settings file again.
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails if the VM has no running process.
     pub fn hang_up(&mut self, name: &str) -> Result<(), StandinError> {
         let process = self.vm(name)?.process.as_ref();
         process.ok_or_else(|| StandinError::new("signal", name))?.hang_up()
     }
 
-    /// Freezes the process of a VM.
+    /// Suspends the process of a VM.
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails if the VM has no running process.
     pub fn freeze(&mut self, name: &str) -> Result<(), StandinError> {
         let process = self.vm(name)?.process.as_ref();
         process.ok_or_else(|| StandinError::new("freeze", name))?.freeze()
     }
 
-    /// Lets the process of a VM go on.
+    /// Resumes the suspended process of a VM.
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails if the VM has no running process.
     pub fn thaw(&mut self, name: &str) -> Result<(), StandinError> {
         let process = self.vm(name)?.process.as_ref();
         process.ok_or_else(|| StandinError::new("thaw", name))?.thaw()
     }
 
-    /// Returns what the process of a VM has logged.
+    /// Returns the log of the process of a VM.
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails if the VM has no running process.
     pub fn log(&mut self, name: &str) -> Result<String, StandinError> {
         let process = self.vm(name)?.process.as_ref();
         Ok(process.ok_or_else(|| StandinError::new("read the log", name))?.log())
@@ -134,7 +136,7 @@
     /// Fails when the process does not answer or has no such metric.
     pub async fn metric(&mut self, vm: &str, name: &str) -> Result<f64, StandinError> {
         let step = || StandinError::at("read a metric");
-        let url = format!("http://{}:{METRICS}/metrics", self.vm(vm)?.settings.ip);
+        let url = format!("http://{}:{METRICS_PORT}/metrics", self.vm(vm)?.settings.ip);
         let req = Client::new().map_err(step())?.get(url).map_err(step())?;
         let text = req.send().await.map_err(step())?.text().await.map_err(step())?;
         let value = text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok());
--- a/crates/dillmill-standins/src/flow_fleet/vm.rs
+++ b/crates/dillmill-standins/src/flow_fleet/vm.rs
@@ -1,3 +1,5 @@
+//! The VMs of a fleet and the settings of their processes.
+
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -5,18 +7,18 @@
 use dillmill_core::ServiceName;
 use dillmill_platform::ProcessSettings;
 
-use super::PACKETS;
+use super::PACKET_PORT;
 use crate::StandinError;
 use crate::flow_target::FlowTarget;
 use crate::process::Process;
 
-const FROM_TARGET: u16 = 18162;
-const READINESS: u16 = 18167;
-const HEARTBEATS: u16 = 18166;
-const TARGET: u16 = 18165;
-const OWN_PORTS: (u16, u16) = (17720, 17735);
+const FROM_TARGET_PORT: u16 = 18162;
+const READINESS_PORT: u16 = 18167;
+const HEARTBEAT_PORT: u16 = 18166;
+const TARGET_PORT: u16 = 18165;
+const INTERNAL_PORTS: (u16, u16) = (17720, 17735);
 
-/// A VM of the fleet.
+/// A VM of a fleet with its settings, process and target.
 pub(super) struct Vm {
     pub(super) settings: ProcessSettings,
     pub(super) file: PathBuf,
@@ -25,27 +27,28 @@
 }
 
 impl Vm {
-    /// Creates a VM without any process: an agent's if it has a service, else a balancer's.
+    /// Creates a VM whose process and target are not started. With a service it is the VM of an agent,
+    /// else of a balancer.
     pub(super) fn new(
         name: &str,
         ip: Ipv4Addr,
         service: Option<ServiceName>,
         store: SocketAddrV4,
-        first: Ipv4Addr,
+        first_peer: Ipv4Addr,
     ) -> Result<Self, StandinError> {
         let at = |port| SocketAddrV4::new(ip, port);
         let settings = ProcessSettings {
             vm: name.parse().map_err(StandinError::at("name a VM"))?,
             zone: "zone-1".parse().map_err(StandinError::at("name a zone"))?,
             ip,
-            packets: at(PACKETS),
-            from_target: service.is_some().then(|| at(FROM_TARGET)),
-            readiness: Some(at(READINESS)),
-            heartbeats: Some(at(HEARTBEATS)),
-            target: service.is_some().then(|| at(TARGET)),
+            packets: at(PACKET_PORT),
+            from_target: service.is_some().then(|| at(FROM_TARGET_PORT)),
+            readiness: Some(at(READINESS_PORT)),
+            heartbeats: Some(at(HEARTBEAT_PORT)),
+            target: service.is_some().then(|| at(TARGET_PORT)),
             service,
-            internal_port_range: OWN_PORTS,
-            peers: vec![first],
+            internal_port_range: INTERNAL_PORTS,
+            peers: vec![first_peer],
             first_start: false,
             store,
             min_lease_ttl: Duration::from_secs(1),
--- a/crates/dillmill-standins/src/flow_proxy.rs
+++ b/crates/dillmill-standins/src/flow_proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback that delays, silences, cuts and resets connections.
+//! A TCP proxy on loopback that delays or silences connections, holds responses back, or closes connections.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -13,44 +13,44 @@
 use crate::StandinError;
 
 const CHUNK: usize = 16 * 1024;
-const STALL: Duration = Duration::from_millis(20);
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the proxy does to all connections.
+/// Fault that the proxy applies to all connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
     Pass,
-    /// Passes everything on, this much later.
+    /// Forwards everything after this delay.
     Delay(Duration),
-    /// Passes nothing on and says nothing.
+    /// Forwards nothing, and keeps connections open.
     Silent,
-    /// Passes requests on and keeps the answers back.
+    /// Forwards requests and holds responses back.
     OneWay,
     /// Closes every connection.
     Reset,
 }
 
-/// What the connections of a proxy go by.
+/// State shared by all connections of a proxy.
 #[derive(Debug, Default)]
-struct Rules {
+struct ProxyState {
     mode: Cell<ProxyMode>,
-    /// Connections made so far.
-    made: Cell<u64>,
-    /// Those up to this number pass nothing on any more.
-    silenced: Cell<u64>,
-    /// Bytes that those have swallowed.
-    swallowed: Cell<usize>,
+    /// Number of connections accepted so far.
+    accepted: Cell<u64>,
+    /// Connections up to this number forward nothing any more.
+    silenced_up_to: Cell<u64>,
+    /// Bytes discarded by silenced connections.
+    discarded_bytes: Cell<usize>,
 }
 
-/// A running proxy; it ends when it is dropped.
+/// A running proxy; it stops accepting connections when it is dropped.
 pub struct FlowProxy {
-    rules: Rc<Rules>,
+    state: Rc<ProxyState>,
     _task: JoinHandle<()>,
 }
 
 impl FlowProxy {
-    /// Starts a proxy at `listen` before `to`.
+    /// Starts a proxy that listens at `listen` and connects to `to`.
     ///
     /// # Errors
     ///
@@ -58,59 +58,67 @@
     pub async fn spawn(listen: SocketAddrV4, to: SocketAddrV4) -> Result<Self, StandinError> {
         let step = format!("bind proxy {listen}");
         let listener = TcpListener::bind(listen).await.map_err(StandinError::at(step))?;
-        let rules = Rc::new(Rules::default());
-        let task = compio::runtime::spawn(accept(listener, to, rules.clone()));
-        Ok(Self { rules, _task: task })
+        let state = Rc::new(ProxyState::default());
+        let task = compio::runtime::spawn(accept(listener, to, state.clone()));
+        Ok(Self { state, _task: task })
     }
 
-    /// Sets what happens to all connections from now on.
+    /// Sets the fault applied to all connections from now on.
     pub fn set(&self, mode: ProxyMode) {
-        self.rules.mode.set(mode);
+        self.state.mode.set(mode);
     }
 
-    /// Has all connections that are open swallow what comes, for good; new ones pass it on.
-    pub fn silence_open(&self) {
-        self.rules.silenced.set(self.rules.made.get());
+    /// Silences all open connections for good: they discard what they receive. New connections are not
+    /// affected.
+    pub fn silence_open_connections(&self) {
+        self.state.silenced_up_to.set(self.state.accepted.get());
     }
 
-    /// Returns the bytes that silenced connections have swallowed.
+    /// Returns the number of bytes that silenced connections have discarded.
     #[must_use]
-    pub fn swallowed(&self) -> usize {
-        self.rules.swallowed.get()
+    pub fn discarded_bytes(&self) -> usize {
+        self.state.discarded_bytes.get()
     }
 }
 
-async fn accept(listener: TcpListener, to: SocketAddrV4, rules: Rc<Rules>) {
+async fn accept(listener: TcpListener, to: SocketAddrV4, state: Rc<ProxyState>) {
     loop {
         let Ok((inner, _)) = listener.accept().await else { continue };
-        let number = rules.made.get() + 1;
-        rules.made.set(number);
-        let rules = rules.clone();
+        let number = state.accepted.get() + 1;
+        state.accepted.set(number);
+        let state = state.clone();
         compio::runtime::spawn(async move {
             let Ok(outer) = TcpStream::connect(SocketAddr::V4(to)).await else { return };
-            let back = pump(outer.clone(), inner.clone(), &rules, number, true);
-            let forth = pump(inner, outer, &rules, number, false);
-            futures_util::pin_mut!(back, forth);
+            let responses = pump(outer.clone(), inner.clone(), &state, number, true);
+            let requests = pump(inner, outer, &state, number, false);
+            futures_util::pin_mut!(responses, requests);
             // Both streams close when either direction ends.
-            futures_util::future::select(back, forth).await;
+            futures_util::future::select(responses, requests).await;
         })
         .detach();
     }
 }
 
-async fn pump(mut from: TcpStream, mut to: TcpStream, rules: &Rules, number: u64, answers: bool) {
-    let mode = &rules.mode;
+/// Copies one direction of a connection, with the faults in force, until it ends or is reset.
+async fn pump(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    state: &ProxyState,
+    number: u64,
+    is_response: bool,
+) {
+    let mode = &state.mode;
     loop {
         let BufResult(outcome, buf) = from.read(Vec::with_capacity(CHUNK)).await;
         if outcome.is_err() || buf.is_empty() {
             return;
         }
-        if number <= rules.silenced.get() {
-            rules.swallowed.set(rules.swallowed.get() + buf.len());
+        if number <= state.silenced_up_to.get() {
+            state.discarded_bytes.set(state.discarded_bytes.get() + buf.len());
             continue;
         }
-        while mode.get() == ProxyMode::Silent || (answers && mode.get() == ProxyMode::OneWay) {
-            compio::time::sleep(STALL).await;
+        while mode.get() == ProxyMode::Silent || (is_response && mode.get() == ProxyMode::OneWay) {
+            compio::time::sleep(HOLD_POLL_INTERVAL).await;
         }
         match mode.get() {
             ProxyMode::Reset => return,
--- a/crates/dillmill-standins/src/flow_soak.rs
+++ b/crates/dillmill-standins/src/flow_soak.rs
@@ -1,7 +1,7 @@
-//! A randomized soak of packet flows: real processes, faults from outside, promises checked meanwhile by
-//! what callers and targets see.
+//! Randomized soak test of packet flows: runs real processes, injects faults, and checks the guarantees by
+//! what callers and targets observe.
 //!
-//! Everything that is drawn comes from the seed; how processes and callers interleave does not.
+//! All random choices come from the seed; the interleaving of processes and callers does not.
 
 mod expectations;
 mod faults;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use expectations::{Facts, Shared};
+use expectations::{Expectations, SharedExpectations};
 use faults::Faults;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -23,51 +23,52 @@
 use crate::flow_fleet::FleetLayout;
 use crate::{FlowCaller, FlowFleet, StandinError};
 
-/// How long after a change of the route an old service may still get new flows.
-const IN_FORCE: Duration = Duration::from_secs(3);
+/// Time after a change of the route or an evacuation order during which new flows may still follow the old
+/// state.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
 const CALLERS: u8 = 6;
 const SERVICES: [&str; 2] = ["orders", "labels"];
 const TARGETS: u8 = 3;
 const BALANCERS: u8 = 3;
-/// Seeds from this one on are played with balancers that have thin links, so that packets wait there. Earlier ones stay as they
-/// were when they failed.
-const THIN_FROM: u64 = 300;
-/// Some 100 kB a second: the callers' packets and the messages between processes fill it now and then.
+/// Seeds from this one on run with thin links at the balancers, so that packets wait there. Lower seeds
+/// run without, as they did when they failed.
+const FIRST_THIN_LINK_SEED: u64 = 300;
+/// About 100 kB/s, which the callers' packets and the messages between processes fill from time to time.
 const THIN_LINK: &str = "0.8 Mbit/s";
-/// Seeds from this one on are played in two data centres, of which one is evacuated now and then.
-const ZONES_FROM: u64 = 400;
+/// Seeds from this one on run in two data centres, one of which is evacuated from time to time.
+const FIRST_ZONES_SEED: u64 = 400;
 const ZONES: u8 = 2;
 
-/// Runs a soak of `length` with everything drawn from `seed`.
+/// Runs a soak for `length` with all random choices drawn from `seed`.
 ///
 /// # Errors
 ///
 /// Fails when the fleet can't be started or does not recover.
 pub async fn run(seed: u64, length: Duration) -> Result<SoakReport, StandinError> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let link = THIN_LINK.parse().ok().filter(|_| seed >= THIN_FROM);
+    let link = THIN_LINK.parse().ok().filter(|_| seed >= FIRST_THIN_LINK_SEED);
     let services = SERVICES.map(|s| (s, TARGETS));
-    let zones = if seed >= ZONES_FROM { ZONES } else { 1 };
+    let zones = if seed >= FIRST_ZONES_SEED { ZONES } else { 1 };
     let layout = FleetLayout { link, zones };
-    let mut fleet = FlowFleet::start_as(layout, BALANCERS, &services).await?;
+    let mut fleet = FlowFleet::start_with_layout(layout, BALANCERS, &services).await?;
     let started = Instant::now();
     let names: Vec<String> = SERVICES
         .iter()
         .flat_map(|service| (1..=TARGETS).map(move |n| format!("{service}-{n}")))
         .collect();
-    let expectations = Rc::new(RefCell::new(Facts {
+    let expectations = Rc::new(RefCell::new(Expectations {
         started,
         report: SoakReport::default(),
-        living: names.iter().cloned().collect(),
-        disturbed: BTreeMap::new(),
-        routes: vec![(started.checked_sub(IN_FORCE).unwrap_or(started), SERVICES[0])],
+        live_runs: names.iter().cloned().collect(),
+        last_faults: BTreeMap::new(),
+        routes: vec![(started.checked_sub(PROPAGATION_LIMIT).unwrap_or(started), SERVICES[0])],
         evacuated: None,
     }));
     let mut tasks = Vec::new();
     for n in 0..CALLERS {
         let caller = fleet.caller(n).await?;
         let load =
-            call(caller, fleet.route(), expectations.clone(), rng.random(), started + length);
+            run_caller(caller, fleet.route(), expectations.clone(), rng.random(), started + length);
         tasks.push(compio::runtime::spawn(load));
     }
     let mut faults =
@@ -80,35 +81,35 @@
     for task in tasks {
         task.await.map_err(|_| StandinError::new("join a caller", "it panicked"))?;
     }
-    faults.settle(&mut fleet).await?;
+    faults.check_recovery(&mut fleet).await?;
     let mut report = std::mem::take(&mut expectations.borrow_mut().report);
-    if !report.broken.is_empty() {
+    if !report.violations.is_empty() {
         report.logs = Some(fleet.keep_logs());
     }
     Ok(report)
 }
 
-/// Runs a soak for each seed and prints what came of it.
+/// Runs a soak for each seed and prints its result.
 ///
 /// # Errors
 ///
-/// Fails when a promise was broken, after the last seed.
+/// Fails after the last seed if a guarantee was violated in any run.
 pub async fn run_seeds(seeds: std::ops::Range<u64>, length: Duration) -> Result<(), StandinError> {
     let mut failed = Vec::new();
     for seed in seeds {
         let report = match Box::pin(run(seed, length)).await {
             Ok(report) => report,
-            Err(e) => SoakReport { broken: vec![e.to_string()], ..SoakReport::default() },
+            Err(e) => SoakReport { violations: vec![e.to_string()], ..SoakReport::default() },
         };
         println!(
             "seed {seed}: {} answered, {} ended, {} actions, {} broken",
             report.answered,
-            report.ended,
+            report.ended_unanswered,
             report.actions.len(),
-            report.broken.len()
+            report.violations.len()
         );
-        if !report.broken.is_empty() {
-            for line in report.actions.iter().chain(&report.broken) {
+        if !report.violations.is_empty() {
+            for line in report.actions.iter().chain(&report.violations) {
                 println!("  {line}");
             }
             if let Some(logs) = &report.logs {
@@ -120,14 +121,14 @@
     if failed.is_empty() {
         return Ok(());
     }
-    Err(StandinError::new("soak", format!("promises broken with seeds {}", failed.join(" "))))
+    Err(StandinError::new("soak", format!("guarantees violated with seeds {}", failed.join(" "))))
 }
 
-/// A caller that keeps one flow for many requests and opens others for one each.
-async fn call(
+/// Runs a caller that sends many requests on one flow, and opens others in between for single requests.
+async fn run_caller(
     caller: FlowCaller,
     route: SocketAddrV4,
-    expectations: Shared,
+    expectations: SharedExpectations,
     seed: u64,
     until: Instant,
 ) {
@@ -141,7 +142,7 @@
         } else if let Ok(flow) = caller.open(route).await {
             (flow, (None, at))
         } else {
-            expectations.borrow_mut().report.ended += 1;
+            expectations.borrow_mut().report.ended_unanswered += 1;
             continue;
         };
         let (before, opened) = owner;
@@ -151,10 +152,10 @@
                 kept = Some((flow, (Some(run), opened)));
             }
             Err(FlowError::Reset) => match before {
-                Some(run) => expectations.borrow_mut().check_reset(&run),
-                None => expectations.borrow_mut().report.ended += 1,
+                Some(run) => expectations.borrow_mut().check_reset_allowed(&run),
+                None => expectations.borrow_mut().report.ended_unanswered += 1,
             },
-            Err(FlowError::Silent) => expectations.borrow_mut().report.ended += 1,
+            Err(FlowError::Silent) => expectations.borrow_mut().report.ended_unanswered += 1,
         }
         compio::time::sleep(Duration::from_millis(rng.random_range(10..120))).await;
     }
--- a/crates/dillmill-standins/src/flow_soak/faults.rs
+++ b/crates/dillmill-standins/src/flow_soak/faults.rs
@@ -1,30 +1,32 @@
+//! Fault injection of the soak.
+
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 use rand::Rng;
 use rand::rngs::StdRng;
 
-use super::expectations::{Shared, vm_of};
-use super::{BALANCERS, CALLERS, IN_FORCE, SERVICES};
+use super::expectations::{SharedExpectations, vm_of};
+use super::{BALANCERS, CALLERS, PROPAGATION_LIMIT, SERVICES};
 use crate::flow_fleet::wait;
 use crate::flow_proxy::ProxyMode;
 use crate::platform::PlatformFaults;
 use crate::{FlowFleet, StandinError};
 
-const SETTLE: Duration = Duration::from_secs(20);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Draws faults and does them.
+/// Draws random faults and injects them.
 pub(super) struct Faults {
     pub(super) rng: StdRng,
     pub(super) names: Vec<String>,
-    pub(super) expectations: Shared,
+    pub(super) expectations: SharedExpectations,
     pub(super) runs: u32,
     pub(super) version: u64,
     pub(super) zones: u8,
 }
 
 impl Faults {
-    fn any_vm(&mut self) -> String {
+    fn random_vm(&mut self) -> String {
         let balancers = usize::from(BALANCERS);
         let n = self.rng.random_range(0..self.names.len() + balancers);
         match self.names.get(n) {
@@ -33,17 +35,17 @@
         }
     }
 
-    fn disturb(&self, vm: &str, what: &str) {
+    fn record_fault(&self, vm: &str, what: &str) {
         let mut expectations = self.expectations.borrow_mut();
-        expectations.act(&format!("{what} {vm}"));
-        expectations.disturbed.insert(vm.to_owned(), Instant::now());
+        expectations.log_action(&format!("{what} {vm}"));
+        expectations.last_faults.insert(vm.to_owned(), Instant::now());
     }
 
-    fn short(&mut self, most_ms: u64) -> Duration {
+    fn random_delay(&mut self, most_ms: u64) -> Duration {
         Duration::from_millis(self.rng.random_range(20..most_ms))
     }
 
-    /// Does one fault.
+    /// Injects one random fault.
     pub(super) async fn next(&mut self, fleet: &mut FlowFleet) -> Result<(), StandinError> {
         let kinds = if self.zones > 1 { 15 } else { 12 };
         match self.rng.random_range(0..kinds) {
@@ -57,45 +59,45 @@
             10 => self.break_proxy(fleet).await,
             12.. => self.evacuate(fleet).await,
             _ => {
-                let vm = self.any_vm();
-                self.expectations.borrow_mut().act(&format!("hang up {vm}"));
+                let vm = self.random_vm();
+                self.expectations.borrow_mut().log_action(&format!("hang up {vm}"));
                 fleet.hang_up(&vm)
             }
         }
     }
 
-    /// Kills one to three processes at once and starts them again.
+    /// Kills one to three processes at the same time and restarts them.
     async fn kill(&mut self, fleet: &mut FlowFleet) -> Result<(), StandinError> {
         let count = self.rng.random_range(1..=3);
-        let vms: BTreeSet<String> = (0..count).map(|_| self.any_vm()).collect();
+        let vms: BTreeSet<String> = (0..count).map(|_| self.random_vm()).collect();
         for vm in &vms {
-            self.disturb(vm, "kill");
+            self.record_fault(vm, "kill");
             fleet.kill(vm)?;
         }
-        compio::time::sleep(self.short(800)).await;
+        compio::time::sleep(self.random_delay(800)).await;
         for vm in &vms {
             fleet.run(vm)?;
-            self.disturb(vm, "start");
+            self.record_fault(vm, "start");
         }
         Ok(())
     }
 
     async fn stop(&mut self, fleet: &mut FlowFleet) -> Result<(), StandinError> {
-        let vm = self.any_vm();
-        self.expectations.borrow_mut().act(&format!("stop {vm}"));
+        let vm = self.random_vm();
+        self.expectations.borrow_mut().log_action(&format!("stop {vm}"));
         if !fleet.stop(&vm).await? {
-            self.expectations.borrow_mut().breaks(&format!("{vm} did not stop as planned"));
+            self.expectations.borrow_mut().log_violation(&format!("{vm} did not stop as planned"));
         }
         fleet.run(&vm)
     }
 
     async fn pause(&mut self, fleet: &mut FlowFleet) -> Result<(), StandinError> {
-        let vm = self.any_vm();
-        self.disturb(&vm, "pause");
+        let vm = self.random_vm();
+        self.record_fault(&vm, "pause");
         fleet.freeze(&vm)?;
-        compio::time::sleep(self.short(1500)).await;
+        compio::time::sleep(self.random_delay(1500)).await;
         fleet.thaw(&vm)?;
-        self.disturb(&vm, "resume");
+        self.record_fault(&vm, "resume");
         Ok(())
     }
 
@@ -105,61 +107,65 @@
         let run = format!("{vm}/{}", self.runs);
         {
             let mut expectations = self.expectations.borrow_mut();
-            expectations.act(&format!("replace target by {run}"));
-            expectations.living.retain(|living| vm_of(living) != vm);
+            expectations.log_action(&format!("replace target by {run}"));
+            expectations.live_runs.retain(|live_runs| vm_of(live_runs) != vm);
         }
-        // Callers open flows at the new run before it has spoken.
-        let silence = self.short(500);
+        // Callers open flows at the new run before its first heartbeat.
+        let silence = self.random_delay(500);
         fleet.run_silent_target(&vm, &run, silence).await?;
-        self.expectations.borrow_mut().living.insert(run);
+        self.expectations.borrow_mut().live_runs.insert(run);
         Ok(())
     }
 
-    /// Has a target leave, holds it to its word for a while, and puts another run in its place.
+    /// Drains a target, checks for a while that it gets no new flows once the drain is acknowledged, and
+    /// replaces it by a new run.
     async fn drain_target(&mut self, fleet: &mut FlowFleet) -> Result<(), StandinError> {
         let vm = self.names[self.rng.random_range(0..self.names.len())].clone();
-        self.expectations.borrow_mut().act(&format!("drain target of {vm}"));
+        self.expectations.borrow_mut().log_action(&format!("drain target of {vm}"));
         fleet.target(&vm)?.drain();
-        compio::time::sleep(IN_FORCE).await;
+        compio::time::sleep(PROPAGATION_LIMIT).await;
         if fleet.target(&vm)?.drain_acknowledged() {
             let opened = fleet.target(&vm)?.opened();
-            compio::time::sleep(self.short(800)).await;
+            compio::time::sleep(self.random_delay(800)).await;
             if fleet.target(&vm)?.opened() > opened {
                 self.expectations
                     .borrow_mut()
-                    .breaks(&format!("leaving target of {vm} got a new flow"));
+                    .log_violation(&format!("leaving target of {vm} got a new flow"));
             }
         }
         self.runs += 1;
         let run = format!("{vm}/{}", self.runs);
-        self.expectations.borrow_mut().living.retain(|living| vm_of(living) != vm);
+        self.expectations.borrow_mut().live_runs.retain(|live_runs| vm_of(live_runs) != vm);
         fleet.run_target(&vm, &run).await?;
-        self.expectations.borrow_mut().living.insert(run);
+        self.expectations.borrow_mut().live_runs.insert(run);
         Ok(())
     }
 
     async fn change_route(&mut self, fleet: &FlowFleet) -> Result<(), StandinError> {
         let service = SERVICES[self.rng.random_range(0..SERVICES.len())];
         let changes = self.rng.random_range(1..=4);
-        // Processes may follow before the store's answer is here; the time limit runs from that answer on.
+        // Processes may apply the change before the store's response arrives here; the time limit starts
+        // with that response.
         self.expectations.borrow_mut().routes.push((Instant::now(), service));
         for _ in 0..changes {
             self.version += self.rng.random_range(1..=3);
             fleet.set_route(self.version, service).await?;
         }
-        self.forgive_route();
-        self.expectations.borrow_mut().act(&format!("route to {service} in {changes} changes"));
+        self.restart_propagation_limit();
+        self.expectations
+            .borrow_mut()
+            .log_action(&format!("route to {service} in {changes} changes"));
         Ok(())
     }
 
-    /// Orders one of the data centres to be evacuated, or takes the order back.
+    /// Orders the evacuation of one data centre, or withdraws the order in force.
     async fn evacuate(&mut self, fleet: &FlowFleet) -> Result<(), StandinError> {
         let before = self.expectations.borrow_mut().evacuated.take();
         let zone = before.map_or_else(|| self.rng.random_range(1..=self.zones), |(zone, _)| zone);
         let ordered = before.is_none();
         fleet.evacuate(&format!("zone-{zone}"), ordered).await?;
         let mut expectations = self.expectations.borrow_mut();
-        expectations.act(&format!("zone-{zone} is to get no new flows: {ordered}"));
+        expectations.log_action(&format!("evacuation of zone-{zone} in force: {ordered}"));
         expectations.evacuated = ordered.then(|| (zone, Instant::now()));
         Ok(())
     }
@@ -170,12 +176,12 @@
             1 => PlatformFaults { slow_ms: 200, ..PlatformFaults::default() },
             _ => PlatformFaults { forget_history: true, ..PlatformFaults::default() },
         };
-        self.expectations.borrow_mut().act(&format!("store {faults:?}"));
+        self.expectations.borrow_mut().log_action(&format!("store {faults:?}"));
         fleet.store_faults(&faults).await?;
-        compio::time::sleep(self.short(2500)).await;
+        compio::time::sleep(self.random_delay(2500)).await;
         fleet.store_faults(&PlatformFaults::default()).await?;
-        self.expectations.borrow_mut().act("store mended");
-        self.forgive_route();
+        self.expectations.borrow_mut().log_action("store repaired");
+        self.restart_propagation_limit();
         Ok(())
     }
 
@@ -186,17 +192,18 @@
             2 => ProxyMode::OneWay,
             _ => ProxyMode::Reset,
         };
-        self.expectations.borrow_mut().act(&format!("way to the store {mode:?}"));
+        self.expectations.borrow_mut().log_action(&format!("connections to the store {mode:?}"));
         fleet.proxy().set(mode);
-        compio::time::sleep(self.short(2500)).await;
+        compio::time::sleep(self.random_delay(2500)).await;
         fleet.proxy().set(ProxyMode::Pass);
-        self.expectations.borrow_mut().act("way to the store mended");
-        self.forgive_route();
+        self.expectations.borrow_mut().log_action("connections to the store repaired");
+        self.restart_propagation_limit();
         Ok(())
     }
 
-    /// A change of a route, or an order to evacuate, that was made while the store could not be read counts from its return.
-    fn forgive_route(&self) {
+    /// Restarts the time limit of the last change of the route and of the evacuation order. A change made
+    /// while the store could not be read counts from the time at which the store is readable again.
+    fn restart_propagation_limit(&self) {
         let mut expectations = self.expectations.borrow_mut();
         if let Some((since, _)) = expectations.routes.last_mut() {
             *since = Instant::now();
@@ -206,14 +213,17 @@
         }
     }
 
-    /// After all faults everything must serve again.
-    pub(super) async fn settle(&mut self, fleet: &mut FlowFleet) -> Result<(), StandinError> {
+    /// Checks that the fleet serves again after the last fault; up to 2 of 20 new flows may fail.
+    pub(super) async fn check_recovery(
+        &mut self,
+        fleet: &mut FlowFleet,
+    ) -> Result<(), StandinError> {
         if self.expectations.borrow().evacuated.is_some() {
             self.evacuate(fleet).await?;
         }
         let router = fleet.router();
         let all = usize::from(BALANCERS);
-        wait(SETTLE, "readiness after the faults", || router.ready() == all).await?;
+        wait(RECOVERY_TIMEOUT, "readiness after the faults", || router.ready() == all).await?;
         let caller = fleet.caller(CALLERS).await?;
         let mut ends = Vec::new();
         for n in 0..20 {
@@ -227,9 +237,10 @@
             }
         }
         if ends.len() > 2 {
-            self.expectations
-                .borrow_mut()
-                .breaks(&format!("of 20 at the end: {}", ends.join(", ")));
+            self.expectations.borrow_mut().log_violation(&format!(
+                "of 20 flows after the last fault failed: {}",
+                ends.join(", ")
+            ));
         }
         Ok(())
     }
--- a/crates/dillmill-standins/src/flow_soak/soak_report.rs
+++ b/crates/dillmill-standins/src/flow_soak/soak_report.rs
@@ -1,16 +1,18 @@
+//! Result of a soak run.
+
 use std::path::PathBuf;
 
-/// What came of a soak.
+/// Result of a soak.
 #[derive(Debug, Default)]
 pub struct SoakReport {
-    /// Promises that were broken.
-    pub broken: Vec<String>,
-    /// What was done, in order.
+    /// Violated guarantees, with the time of each.
+    pub violations: Vec<String>,
+    /// Injected faults and changes, in order.
     pub actions: Vec<String>,
-    /// Requests answered.
+    /// Number of answered requests.
     pub answered: u64,
-    /// Flows or tries that ended without an answer, as faults explain.
-    pub ended: u64,
-    /// Where the logs of all processes are, if a promise was broken.
+    /// Number of flows and attempts that ended without an answer, as faults explain.
+    pub ended_unanswered: u64,
+    /// Folder with the logs of all processes, kept if a guarantee was violated.
     pub logs: Option<PathBuf>,
 }
--- a/crates/dillmill-standins/src/flow_target.rs
+++ b/crates/dillmill-standins/src/flow_target.rs
@@ -1,4 +1,5 @@
-//! A target of packet flows: answers requests, gives back what it does not hold, sends heartbeats.
+//! Stand-in for a target of packet flows: answers requests, returns packets of flows that it does not
+//! hold, and sends heartbeats to its agent.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -18,7 +19,7 @@
 
 use crate::StandinError;
 
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 const MAX_DATAGRAM: usize = 2048;
 
 #[derive(Debug)]
@@ -28,25 +29,25 @@
     address: SocketAddrV4,
     zone: ZoneName,
     started: StartTime,
-    says: TargetState,
-    /// The number with which each flow began here.
+    announced: TargetState,
+    /// Initial sequence number of each flow, as sent by this target.
     flows: HashMap<FlowTuple, u32>,
     opened: u64,
-    given_back: u64,
-    /// Requests that it has run: flow and number of the first byte.
-    ran: BTreeSet<(FlowTuple, u32)>,
+    returned_packets: u64,
+    /// Executed requests: flow and sequence number of the first byte.
+    executed: BTreeSet<(FlowTuple, u32)>,
     acknowledged: Option<TargetState>,
 }
 
-/// A running target; it ends when it is dropped.
+/// A running target; its tasks end when it is dropped.
 pub struct FlowTarget {
     state: Rc<RefCell<State>>,
     _tasks: [JoinHandle<()>; 3],
 }
 
 impl FlowTarget {
-    /// Starts the target beside the agent with `settings`; `id` names this run of it. It takes flows at once, and
-    /// sends its first heartbeat after `silence`.
+    /// Starts the target on the VM of the agent with `settings`; `id` names this run of the target. It
+    /// takes flows at once, and sends its first heartbeat after `silence`.
     ///
     /// # Errors
     ///
@@ -70,15 +71,15 @@
             address: app,
             zone: settings.zone.clone(),
             started: now(),
-            says: TargetState::Ready,
+            announced: TargetState::Ready,
             flows: HashMap::new(),
             opened: 0,
-            given_back: 0,
-            ran: BTreeSet::new(),
+            returned_packets: 0,
+            executed: BTreeSet::new(),
             acknowledged: None,
         }));
-        let packets = take_packets(socket, SocketAddr::V4(outbound), state.clone());
-        let url = format!("http://{heartbeats}{TARGET_PATH}/{}", spoken_id(id));
+        let packets = receive_packets(socket, SocketAddr::V4(outbound), state.clone());
+        let url = format!("http://{heartbeats}{TARGET_PATH}/{}", reported_id(id));
         let tasks = [
             compio::runtime::spawn(packets),
             compio::runtime::spawn(accept(health)),
@@ -87,38 +88,39 @@
         Ok(Self { state, _tasks: tasks })
     }
 
-    /// Says with the next heartbeat that it leaves.
+    /// Reports with the next heartbeat that the target is leaving.
     pub fn drain(&self) {
-        self.state.borrow_mut().says = TargetState::Draining;
+        self.state.borrow_mut().announced = TargetState::Draining;
     }
 
-    /// Returns whether its agent has acknowledged that it leaves.
+    /// Returns whether its agent has acknowledged a heartbeat that reports it as leaving.
     #[must_use]
     pub fn drain_acknowledged(&self) -> bool {
         self.state.borrow().acknowledged == Some(TargetState::Draining)
     }
 
-    /// Returns the number of packets of flows that it did not hold.
+    /// Returns the number of packets returned because the target did not hold their flow.
     #[must_use]
-    pub fn given_back(&self) -> u64 {
-        self.state.borrow().given_back
+    pub fn returned_packets(&self) -> u64 {
+        self.state.borrow().returned_packets
     }
 
-    /// Returns the requests that it has run, by flow and number of the first byte.
+    /// Returns the executed requests, by flow and sequence number of the first byte.
     #[must_use]
-    pub fn ran(&self) -> BTreeSet<(FlowTuple, u32)> {
-        self.state.borrow().ran.clone()
+    pub fn executed(&self) -> BTreeSet<(FlowTuple, u32)> {
+        self.state.borrow().executed.clone()
     }
 
-    /// Returns the number of flows that callers have opened here.
+    /// Returns the number of handshakes that callers have completed with this target.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.state.borrow().opened
     }
 }
 
-/// Returns the id by which a run speaks: every second run of `vm/run` goes by the old id, its VM's name.
-fn spoken_id(run: &str) -> String {
+/// Returns the id that a run reports in heartbeats: runs `vm/n` with an even number reuse the old id, the
+/// name of the VM.
+fn reported_id(run: &str) -> String {
     match run.split_once('/') {
         Some((vm, n)) if n.parse().is_ok_and(|n: u64| n.is_multiple_of(2)) => vm.to_owned(),
         Some((vm, n)) => format!("{vm}-run-{n}"),
@@ -131,41 +133,47 @@
     StartTime(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Accepts connections, as a target does for its health checks; nothing is asked on them here.
+/// Accepts connections, as a target does for health checks; no requests are sent on them here.
 async fn accept(health: TcpListener) {
     loop {
-        // One that fails is as one that was closed at once.
+        // A failed accept is treated as a connection that was closed at once.
         let _ = health.accept().await;
     }
 }
 
-async fn take_packets(socket: UdpSocket, outbound: SocketAddr, state: Rc<RefCell<State>>) {
+async fn receive_packets(socket: UdpSocket, outbound: SocketAddr, state: Rc<RefCell<State>>) {
     loop {
         let BufResult(outcome, buf) = socket.recv_from(Vec::with_capacity(MAX_DATAGRAM)).await;
         if outcome.is_err() {
             continue;
         }
-        let Some(answer) = state.borrow_mut().take(buf) else { continue };
-        // A datagram that can't be sent is as one that was lost.
+        let Some(answer) = state.borrow_mut().handle_packet(buf) else { continue };
+        // A datagram that can't be sent counts as lost.
         let BufResult(_, _) = socket.send_to(answer, outbound).await;
     }
 }
 
 impl State {
-    /// Takes a packet and returns the one to send, if any.
-    fn take(&mut self, mut buf: Vec<u8>) -> Option<Vec<u8>> {
+    /// Processes a packet from a caller and returns the packet to send, if any.
+    fn handle_packet(&mut self, mut buf: Vec<u8>) -> Option<Vec<u8>> {
         let seg = packet::decode(&buf, Sender::Caller).ok()?;
         let held = self.flows.get(&seg.flow).copied();
         match (seg.kind, held) {
             (SegmentKind::Open { .. }, known) => {
-                let began = known.unwrap_or_else(|| rand::rng().random());
-                self.flows.insert(seg.flow, began);
-                Some(answer(&seg, SegmentKind::Accept, began, seg.seq.wrapping_add(1), b""))
+                let initial_seq = known.unwrap_or_else(|| rand::rng().random());
+                self.flows.insert(seg.flow, initial_seq);
+                Some(answer(&seg, SegmentKind::Accept, initial_seq, seg.seq.wrapping_add(1), b""))
             }
-            (SegmentKind::Data, Some(began)) if seg.len > 0 => {
-                self.ran.insert((seg.flow, seg.seq));
+            (SegmentKind::Data, Some(initial_seq)) if seg.len > 0 => {
+                self.executed.insert((seg.flow, seg.seq));
                 let ack = seg.seq.wrapping_add(u32::from(seg.len));
-                Some(answer(&seg, SegmentKind::Data, seg.ack.max(began), ack, self.id.as_bytes()))
+                Some(answer(
+                    &seg,
+                    SegmentKind::Data,
+                    seg.ack.max(initial_seq),
+                    ack,
+                    self.id.as_bytes(),
+                ))
             }
             (SegmentKind::Data, Some(_)) => {
                 self.opened += 1;
@@ -176,7 +184,7 @@
                 None
             }
             (_, None) => {
-                self.given_back += 1;
+                self.returned_packets += 1;
                 packet::mark_returned(&mut buf);
                 Some(buf)
             }
@@ -202,7 +210,7 @@
                 zone: state.zone.clone(),
                 version: "v1".to_owned(),
                 slots: 5,
-                state: state.says,
+                state: state.announced,
                 cold_ms: 0,
                 number,
                 started: Some(state.started),
@@ -210,11 +218,11 @@
         };
         let sent = client.put(&url).and_then(|req| req.json(&heartbeat));
         if let Ok(req) = sent
-            && let Ok(Ok(res)) = compio::time::timeout(HEARTBEAT_EVERY * 5, req.send()).await
+            && let Ok(Ok(res)) = compio::time::timeout(HEARTBEAT_INTERVAL * 5, req.send()).await
             && res.status().is_success()
         {
             state.borrow_mut().acknowledged = Some(heartbeat.state);
         }
-        compio::time::sleep(HEARTBEAT_EVERY).await;
+        compio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
--- a/crates/dillmill-standins/tests/evacuated_fleets.rs
+++ b/crates/dillmill-standins/tests/evacuated_fleets.rs
@@ -1,4 +1,4 @@
-//! Evacuated data centres, on real processes: what callers and targets see.
+//! Tests of evacuated data centres with real processes, observed by callers and targets.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use dillmill_standins::platform::PlatformFaults;
 use dillmill_standins::{FlowCaller, FlowError, FlowFleet, OpenFlow, StandinError};
 
-const LIMIT: Duration = Duration::from_secs(15);
-/// Targets are in `zone-1` and `zone-2` by turns.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
+/// Targets alternate between `zone-1` and `zone-2`.
 const LAYOUT: FleetLayout = FleetLayout { link: None, zones: 2 };
-/// The evacuated ones.
-const EVEN: [&str; 2] = ["orders-2", "orders-4"];
+/// VMs of the targets in `zone-2`, which the tests evacuate.
+const EVACUATED_VMS: [&str; 2] = ["orders-2", "orders-4"];
 
 fn on_runtime(test: impl Future<Output = Result<(), StandinError>>) {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(test).unwrap();
 }
 
-/// Opens `n` flows and asks on each; returns them with the targets that have answered.
-async fn ask_new<'a>(
+/// Opens `n` flows and sends a request on each; returns them with the names of the targets that answered.
+async fn open_and_request<'a>(
     caller: &'a FlowCaller,
     fleet: &FlowFleet,
     n: usize,
@@ -39,28 +39,34 @@
 }
 
 fn opened(fleet: &FlowFleet) -> Result<u64, StandinError> {
-    EVEN.iter().map(|vm| fleet.target(vm).map(FlowTarget::opened)).sum()
+    EVACUATED_VMS.iter().map(|vm| fleet.target(vm).map(FlowTarget::opened)).sum()
 }
 
-/// Waits until flows are opened at targets of the second data centre too.
-async fn wait_for_all(caller: &FlowCaller, fleet: &FlowFleet) -> Result<(), StandinError> {
+/// Opens flows until one is opened at a target of the second data centre.
+async fn wait_for_evacuable_targets(
+    caller: &FlowCaller,
+    fleet: &FlowFleet,
+) -> Result<(), StandinError> {
     let before = opened(fleet)?;
     let started = std::time::Instant::now();
     while opened(fleet)? == before {
-        assert!(started.elapsed() < LIMIT, "no flow at {EVEN:?}");
-        ask_new(caller, fleet, 4).await;
+        assert!(started.elapsed() < WAIT_TIMEOUT, "no flow was opened at {EVACUATED_VMS:?}");
+        open_and_request(caller, fleet, 4).await;
     }
     Ok(())
 }
 
-/// Waits until all processes know how many data centres are evacuated.
-async fn known(fleet: &mut FlowFleet, zones: f64) -> Result<(), StandinError> {
+/// Waits until the metric of every process shows this number of evacuated data centres.
+async fn wait_for_evacuations(fleet: &mut FlowFleet, zones: f64) -> Result<(), StandinError> {
     let names = ["balancer-1", "balancer-2", "orders-1", "orders-2", "orders-3", "orders-4"];
     let started = std::time::Instant::now();
     for name in names {
         let mut shown = -1.0;
         while (shown - zones).abs() > 0.1 {
-            assert!(started.elapsed() < LIMIT, "{name} knows of {shown}, not {zones}");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "{name} shows {shown} evacuated data centres, not {zones}"
+            );
             shown = fleet.metric(name, "dillmill_evacuated_data_centres").await.unwrap_or(-1.0);
             compio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -71,35 +77,36 @@
 #[test]
 fn evacuated_gets_nothing_new() {
     on_runtime(async {
-        let mut fleet = FlowFleet::start_as(LAYOUT, 2, &[("orders", 4)]).await?;
+        let mut fleet = FlowFleet::start_with_layout(LAYOUT, 2, &[("orders", 4)]).await?;
         let caller = fleet.caller(0).await?;
-        wait_for_all(&caller, &fleet).await?;
-        let mut flows = ask_new(&caller, &fleet, 12).await;
+        wait_for_evacuable_targets(&caller, &fleet).await?;
+        let mut flows = open_and_request(&caller, &fleet, 12).await;
         fleet.evacuate("zone-2", true).await?;
-        known(&mut fleet, 1.0).await?;
+        wait_for_evacuations(&mut fleet, 1.0).await?;
         let before = opened(&fleet)?;
-        let later = ask_new(&caller, &fleet, 20).await;
-        assert!(later.iter().all(|(_, target)| !EVEN.contains(&target.as_str())));
+        let later = open_and_request(&caller, &fleet, 20).await;
+        assert!(later.iter().all(|(_, target)| !EVACUATED_VMS.contains(&target.as_str())));
         for (flow, target) in &mut flows {
             assert_eq!(flow.request().await.as_ref(), Ok(&*target), "an open flow stays");
         }
         assert_eq!(opened(&fleet)?, before);
         fleet.evacuate("zone-2", false).await?;
-        known(&mut fleet, 0.0).await?;
-        wait_for_all(&caller, &fleet).await?;
+        wait_for_evacuations(&mut fleet, 0.0).await?;
+        wait_for_evacuable_targets(&caller, &fleet).await?;
         Ok(())
     });
 }
 
-/// Processes that start while the store is away learn from their peers what was ordered before.
+/// A process that starts while the store is unreachable must not send new flows to an evacuated data
+/// centre: it learns the evacuation orders from its peers.
 #[test]
 fn restarted_ones_know_it() {
     on_runtime(async {
-        let mut fleet = FlowFleet::start_as(LAYOUT, 2, &[("orders", 4)]).await?;
+        let mut fleet = FlowFleet::start_with_layout(LAYOUT, 2, &[("orders", 4)]).await?;
         let caller = fleet.caller(0).await?;
-        wait_for_all(&caller, &fleet).await?;
+        wait_for_evacuable_targets(&caller, &fleet).await?;
         fleet.evacuate("zone-2", true).await?;
-        known(&mut fleet, 1.0).await?;
+        wait_for_evacuations(&mut fleet, 1.0).await?;
         fleet.store_faults(&PlatformFaults { down: true, ..PlatformFaults::default() }).await?;
         let before = opened(&fleet)?;
         for vm in ["balancer-1", "orders-2", "orders-4"] {
@@ -107,27 +114,28 @@
             fleet.run(vm)?;
         }
         let router = fleet.router();
-        wait(LIMIT, "the balancer's return", || router.ready() == 2).await?;
-        let later = ask_new(&caller, &fleet, 20).await;
-        assert!(later.iter().all(|(_, target)| !EVEN.contains(&target.as_str())));
+        wait(WAIT_TIMEOUT, "the balancer's return", || router.ready() == 2).await?;
+        let later = open_and_request(&caller, &fleet, 20).await;
+        assert!(later.iter().all(|(_, target)| !EVACUATED_VMS.contains(&target.as_str())));
         assert_eq!(opened(&fleet)?, before);
         Ok(())
     });
 }
 
-/// Nothing is left to serve a new flow: its caller hears it at once, not at the end of its patience.
+/// With all data centres evacuated no target can serve a new flow. Its caller must be reset immediately
+/// instead of waiting for its attempt timeout.
 #[test]
 fn all_evacuated_refused_at_once() {
     on_runtime(async {
-        let mut fleet = FlowFleet::start_as(LAYOUT, 2, &[("orders", 4)]).await?;
+        let mut fleet = FlowFleet::start_with_layout(LAYOUT, 2, &[("orders", 4)]).await?;
         let caller = fleet.caller(0).await?;
-        wait_for_all(&caller, &fleet).await?;
-        let mut flows = ask_new(&caller, &fleet, 4).await;
+        wait_for_evacuable_targets(&caller, &fleet).await?;
+        let mut flows = open_and_request(&caller, &fleet, 4).await;
         fleet.evacuate("Zone_2", true).await?;
         fleet.evacuate("zone-2", true).await?;
         fleet.evacuate("zone-1", true).await?;
-        known(&mut fleet, 2.0).await?;
-        // A balancer that has only just started waits for what it may not know yet.
+        wait_for_evacuations(&mut fleet, 2.0).await?;
+        // A balancer that has just started waits for state that it may not have received yet.
         compio::time::sleep(Duration::from_secs(2)).await;
         for _ in 0..5 {
             let started = std::time::Instant::now();
@@ -138,9 +146,9 @@
             assert_eq!(flow.request().await.as_ref(), Ok(&*target), "an open flow stays");
         }
         fleet.evacuate("zone-1", false).await?;
-        known(&mut fleet, 1.0).await?;
-        let later = ask_new(&caller, &fleet, 6).await;
-        assert!(later.iter().all(|(_, target)| !EVEN.contains(&target.as_str())));
+        wait_for_evacuations(&mut fleet, 1.0).await?;
+        let later = open_and_request(&caller, &fleet, 6).await;
+        assert!(later.iter().all(|(_, target)| !EVACUATED_VMS.contains(&target.as_str())));
         Ok(())
     });
 }
--- a/crates/dillmill-standins/tests/flow_fleets.rs
+++ b/crates/dillmill-standins/tests/flow_fleets.rs
@@ -1,5 +1,5 @@
-//! Packet flows through real processes: what callers see while balancers, agents, targets, settings
-//! and the store change.
+//! Tests of packet flows through real processes, observed by callers while balancers, agents, targets,
+//! settings and the store change or fail.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use futures_util::future::join_all;
 use rstest::rstest;
 
-const LIMIT: Duration = Duration::from_secs(15);
-/// A setting is to be in force this long after it was accepted, whatever has become of connections.
-const NOTICED: Duration = Duration::from_secs(8);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
+/// A setting must be in force this long after the store accepted it, even if connections to the store fail.
+const SETTING_IN_FORCE_LIMIT: Duration = Duration::from_secs(8);
 
 fn on_runtime(test: impl Future<Output = Result<(), StandinError>>) {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(test).unwrap();
 }
 
-/// Opens flows until `n` are open; tries that end are made again, as callers do.
+/// Opens flows until `n` are open. Attempts that fail are repeated, as callers do.
 async fn open<'a>(caller: &'a FlowCaller, fleet: &FlowFleet, n: usize) -> Vec<OpenFlow<'a>> {
     let mut flows = Vec::new();
     for _ in 0..n * 10 {
@@ -32,22 +32,22 @@
     panic!("{} of {n} flows open", flows.len());
 }
 
-/// Opens flows until the first target has one: its agent serves from its first heartbeat on, which may come
-/// after the first flows.
+/// Opens flows until the first target has one. Its agent serves only after the target's first heartbeat,
+/// which may arrive after the first flows.
 async fn open_until_first<'a>(
     caller: &'a FlowCaller,
     fleet: &FlowFleet,
 ) -> Result<Vec<OpenFlow<'a>>, StandinError> {
     let mut flows = open(caller, fleet, 6).await;
     let started = std::time::Instant::now();
-    while fleet.target("orders-1")?.opened() == 0 && started.elapsed() < LIMIT {
+    while fleet.target("orders-1")?.opened() == 0 && started.elapsed() < WAIT_TIMEOUT {
         flows.extend(open(caller, fleet, 3).await);
     }
     Ok(flows)
 }
 
-/// Asks on every flow, and returns who answered.
-async fn ask(flows: &mut [OpenFlow<'_>]) -> Vec<Result<String, FlowError>> {
+/// Sends a request on every flow, and returns the names of the targets that answered.
+async fn request_all(flows: &mut [OpenFlow<'_>]) -> Vec<Result<String, FlowError>> {
     let mut answers = Vec::new();
     for flow in flows {
         answers.push(flow.request().await);
@@ -61,15 +61,15 @@
         let mut fleet = FlowFleet::start(3, &[("orders", 3)]).await?;
         let caller = fleet.caller(0).await?;
         let mut flows = open(&caller, &fleet, 12).await;
-        let owners = ask(&mut flows).await;
-        assert!(owners.iter().all(Result::is_ok), "{owners:?}");
+        let targets = request_all(&mut flows).await;
+        assert!(targets.iter().all(Result::is_ok), "{targets:?}");
         fleet.kill("balancer-2")?;
-        assert_eq!(ask(&mut flows).await, owners, "after a kill");
+        assert_eq!(request_all(&mut flows).await, targets, "after a kill");
         fleet.run("balancer-2")?;
-        wait(LIMIT, "the balancer's return", || fleet.router().ready() == 3).await?;
-        assert_eq!(ask(&mut flows).await, owners, "after its return");
+        wait(WAIT_TIMEOUT, "the balancer's return", || fleet.router().ready() == 3).await?;
+        assert_eq!(request_all(&mut flows).await, targets, "after its return");
         assert!(fleet.stop("balancer-1").await?);
-        assert_eq!(ask(&mut flows).await, owners, "after a planned stop");
+        assert_eq!(request_all(&mut flows).await, targets, "after a planned stop");
         Ok(())
     });
 }
@@ -80,7 +80,7 @@
         let mut fleet = FlowFleet::start(2, &[("orders", 3)]).await?;
         let caller = fleet.caller(0).await?;
         let mut flows = open(&caller, &fleet, 12).await;
-        let owners = ask(&mut flows).await;
+        let targets = request_all(&mut flows).await;
         for n in 1..=3 {
             fleet.kill(&format!("orders-{n}"))?;
         }
@@ -89,31 +89,32 @@
             fleet.run(&format!("orders-{n}"))?;
         }
         fleet.run("balancer-1")?;
-        assert_eq!(ask(&mut flows).await, owners);
+        assert_eq!(request_all(&mut flows).await, targets);
         Ok(())
     });
 }
 
-/// Requests that may not be repeated, on flows that stay open: each runs at one target once and its answer is whole,
-/// while balancers are killed and targets are replaced, also under the old id.
+/// Guards against requests that run at two targets, and against incomplete answers, on open flows whose
+/// requests may not be repeated. Meanwhile balancers are killed and targets are replaced, some of them
+/// under the old id.
 #[test]
 fn unrepeatable_requests_run_once() {
     on_runtime(async {
         let mut fleet = FlowFleet::start(3, &[("orders", 3)]).await?;
         let caller = fleet.caller(0).await?;
         let mut flows = open(&caller, &fleet, 9).await;
-        let mut ran = Vec::new();
+        let mut executed = Vec::new();
         for round in 0..12 {
             match round {
                 2 => fleet.kill("balancer-1")?,
                 4 => fleet.run("balancer-1")?,
                 3 | 6 => {
-                    ran.push(fleet.target("orders-2")?.ran());
+                    executed.push(fleet.target("orders-2")?.executed());
                     fleet.run_target("orders-2", &format!("orders-2/{round}")).await?;
                 }
                 8 => fleet.kill("balancer-2")?,
                 9 => {
-                    ran.push(fleet.target("orders-3")?.ran());
+                    executed.push(fleet.target("orders-3")?.executed());
                     fleet.run_target("orders-3", "orders-3/2").await?;
                 }
                 _ => {}
@@ -121,7 +122,7 @@
             let answers = join_all(flows.iter_mut().map(OpenFlow::request)).await;
             for (i, answer) in answers.iter().enumerate().rev() {
                 match answer {
-                    Ok(name) => assert!(name.starts_with("orders-"), "{name:?} is not whole"),
+                    Ok(name) => assert!(name.starts_with("orders-"), "incomplete answer {name:?}"),
                     Err(_) => drop(flows.swap_remove(i)),
                 }
             }
@@ -132,12 +133,12 @@
             }
         }
         for n in 1..=3 {
-            ran.push(fleet.target(&format!("orders-{n}"))?.ran());
+            executed.push(fleet.target(&format!("orders-{n}"))?.executed());
         }
-        let all: Vec<_> = ran.iter().flatten().collect();
+        let all: Vec<_> = executed.iter().flatten().collect();
         let once: std::collections::BTreeSet<_> = all.iter().collect();
         assert!(all.len() >= 9 * 8, "{} requests have run", all.len());
-        assert_eq!(all.len(), once.len(), "some have run at two targets");
+        assert_eq!(all.len(), once.len(), "some requests have run at two targets");
         Ok(())
     });
 }
@@ -148,16 +149,16 @@
         let fleet = FlowFleet::start(2, &[("orders", 3)]).await?;
         let caller = fleet.caller(0).await?;
         let mut flows = open(&caller, &fleet, 9).await;
-        let owners = ask(&mut flows).await;
+        let targets = request_all(&mut flows).await;
         let leaving = fleet.target("orders-1")?;
         leaving.drain();
-        wait(LIMIT, "the acknowledgement", || leaving.drain_acknowledged()).await?;
+        wait(WAIT_TIMEOUT, "the acknowledgement", || leaving.drain_acknowledged()).await?;
         let opened = leaving.opened();
         let mut later = open(&caller, &fleet, 20).await;
-        let answers = ask(&mut later).await;
+        let answers = request_all(&mut later).await;
         assert!(answers.iter().all(|a| a.as_ref().is_ok_and(|id| id != "orders-1")), "{answers:?}");
         assert_eq!(leaving.opened(), opened);
-        assert_eq!(ask(&mut flows).await, owners, "open flows stay");
+        assert_eq!(request_all(&mut flows).await, targets, "open flows stay");
         Ok(())
     });
 }
@@ -168,17 +169,17 @@
         let fleet = FlowFleet::start(2, &[("orders", 2), ("labels", 2)]).await?;
         let caller = fleet.caller(0).await?;
         let mut flows = open(&caller, &fleet, 6).await;
-        let owners = ask(&mut flows).await;
-        assert!(owners.iter().all(|a| a.as_ref().is_ok_and(|id| id.starts_with("orders"))));
+        let targets = request_all(&mut flows).await;
+        assert!(targets.iter().all(|a| a.as_ref().is_ok_and(|id| id.starts_with("orders"))));
         fleet.set_route(5, "labels").await?;
         compio::time::sleep(Duration::from_secs(3)).await;
         let mut later = open(&caller, &fleet, 12).await;
-        let answers = ask(&mut later).await;
+        let answers = request_all(&mut later).await;
         assert!(
             answers.iter().all(|a| a.as_ref().is_ok_and(|id| id.starts_with("labels"))),
             "{answers:?}"
         );
-        assert_eq!(ask(&mut flows).await, owners, "open flows stay");
+        assert_eq!(request_all(&mut flows).await, targets, "open flows stay");
         Ok(())
     });
 }
@@ -189,19 +190,20 @@
         let mut fleet = FlowFleet::start(2, &[("orders", 2)]).await?;
         let caller = fleet.caller(0).await?;
         let mut flows = open(&caller, &fleet, 6).await;
-        let owners = ask(&mut flows).await;
+        let targets = request_all(&mut flows).await;
         fleet.store_faults(&PlatformFaults { down: true, ..PlatformFaults::default() }).await?;
-        // A process that starts meanwhile learns everything from its peers.
+        // A process that starts during the outage gets all its state from its peers.
         fleet.kill("balancer-2")?;
         fleet.run("balancer-2")?;
-        wait(LIMIT, "the balancer's return", || fleet.router().ready() == 2).await?;
-        assert_eq!(ask(&mut flows).await, owners);
+        wait(WAIT_TIMEOUT, "the balancer's return", || fleet.router().ready() == 2).await?;
+        assert_eq!(request_all(&mut flows).await, targets);
         open(&caller, &fleet, 6).await;
         Ok(())
     });
 }
 
-/// A run named `orders-1/2` goes by the id of the run before, `orders-1`.
+/// Flows of a target that has ended must be reset, also if the next run reports the same id: the run named
+/// `orders-1/2` reports the id of the run before, `orders-1`.
 #[rstest]
 #[case::another_id("orders-1/1")]
 #[case::old_id("orders-1/2")]
@@ -210,25 +212,26 @@
         let mut fleet = FlowFleet::start(2, &[("orders", 2)]).await?;
         let caller = fleet.caller(0).await?;
         let mut flows = open_until_first(&caller, &fleet).await?;
-        let owners = ask(&mut flows).await;
-        assert!(owners.contains(&Ok("orders-1".to_owned())), "{owners:?}");
+        let targets = request_all(&mut flows).await;
+        assert!(targets.contains(&Ok("orders-1".to_owned())), "{targets:?}");
         fleet.run_target("orders-1", run).await?;
-        for (flow, owner) in flows.iter_mut().zip(&owners) {
-            let lost = owner.as_ref().is_ok_and(|id| id == "orders-1");
-            assert_eq!(flow.reset_within(Duration::from_secs(2)).await, lost, "{owner:?}");
+        for (flow, target_name) in flows.iter_mut().zip(&targets) {
+            let lost = target_name.as_ref().is_ok_and(|id| id == "orders-1");
+            assert_eq!(flow.reset_within(Duration::from_secs(2)).await, lost, "{target_name:?}");
         }
         let started = std::time::Instant::now();
-        while fleet.target("orders-1")?.opened() == 0 && started.elapsed() < LIMIT {
+        while fleet.target("orders-1")?.opened() == 0 && started.elapsed() < WAIT_TIMEOUT {
             open(&caller, &fleet, 3).await;
         }
         let leaving = fleet.target("orders-1")?;
         assert!(leaving.opened() > 0, "the new run serves");
         leaving.drain();
-        wait(LIMIT, "the new run's leave", || leaving.drain_acknowledged()).await
+        wait(WAIT_TIMEOUT, "the new run's leave", || leaving.drain_acknowledged()).await
     });
 }
 
-/// Found by a day with targets that crash and come back: a run takes its first flows before its first heartbeat.
+/// A new run of a target can take flows before it sends its first heartbeat; these must not be reset by that
+/// heartbeat. Found in a test day with targets that crash and restart.
 #[test]
 fn flows_of_a_silent_new_run_kept() {
     on_runtime(async {
@@ -238,13 +241,13 @@
         let silence = Duration::from_millis(600);
         fleet.run_silent_target("orders-1", "orders-1-again", silence).await?;
         let mut flows = open(&caller, &fleet, 6).await;
-        let owners = ask(&mut flows).await;
-        assert!(owners.iter().all(Result::is_ok), "{owners:?}");
+        let targets = request_all(&mut flows).await;
+        assert!(targets.iter().all(Result::is_ok), "{targets:?}");
         for flow in &mut lost {
             assert!(flow.reset_within(Duration::from_secs(2)).await, "of the earlier run");
         }
         compio::time::sleep(silence).await;
-        assert_eq!(ask(&mut flows).await, owners, "after the first heartbeat");
+        assert_eq!(request_all(&mut flows).await, targets, "after the first heartbeat");
         Ok(())
     });
 }
@@ -262,62 +265,64 @@
         assert!(log.contains("settings file read"), "{log}");
         let caller = fleet.caller(0).await?;
         let mut flows = open(&caller, &fleet, 2).await;
-        assert!(ask(&mut flows).await.iter().all(Result::is_ok));
+        assert!(request_all(&mut flows).await.iter().all(Result::is_ok));
         Ok(())
     });
 }
 
-/// Found by a day of our own (agents rolled twice): while an agent was away for the second time, the balancer
-/// did not know its first run any more and had the flow searched at the targets of others.
+/// A flow must wait while its agent restarts for the second time. The fault: the balancer had forgotten
+/// the agent's first run and had the flow searched at the targets of other agents. Found in one of
+/// our own test days, in which agents were restarted twice by rolling restarts.
 #[test]
 fn flow_waits_for_its_agent() {
     on_runtime(async {
         let mut fleet = FlowFleet::start(1, &[("orders", 3)]).await?;
         let caller = fleet.caller(0).await?;
         let mut flows = open_until_first(&caller, &fleet).await?;
-        let owners = ask(&mut flows).await;
+        let targets = request_all(&mut flows).await;
         for n in 1..=3 {
             fleet.kill(&format!("orders-{n}"))?;
             fleet.run(&format!("orders-{n}"))?;
         }
         compio::time::sleep(Duration::from_secs(2)).await;
         let mut mine = Vec::new();
-        for (flow, owner) in flows.into_iter().zip(owners) {
-            if owner.as_ref().is_ok_and(|id| id == "orders-1") {
+        for (flow, target_name) in flows.into_iter().zip(targets) {
+            if target_name.as_ref().is_ok_and(|id| id == "orders-1") {
                 mine.push(flow);
             }
         }
-        assert!(!mine.is_empty(), "no flow of the first target");
+        assert!(!mine.is_empty(), "the first target has no flow");
         fleet.kill("orders-1")?;
         let later = async {
             compio::time::sleep(Duration::from_millis(1200)).await;
-            let strange =
-                fleet.target("orders-2")?.given_back() + fleet.target("orders-3")?.given_back();
-            assert_eq!(strange, 0, "packets at targets of others");
+            let misdirected = fleet.target("orders-2")?.returned_packets()
+                + fleet.target("orders-3")?.returned_packets();
+            assert_eq!(misdirected, 0, "packets arrived at targets of other agents");
             fleet.run("orders-1")
         };
         let asking = futures_util::future::join_all(mine.iter_mut().map(OpenFlow::request));
-        let (answers, ran) = futures_util::future::join(asking, later).await;
-        ran?;
+        let (answers, executed) = futures_util::future::join(asking, later).await;
+        executed?;
         assert!(answers.iter().all(|a| a.as_ref().is_ok_and(|id| id == "orders-1")), "{answers:?}");
         Ok(())
     });
 }
 
-/// Load: 16 callers send requests at the same moment through balancers with 0.25 Mbit/s. Packets that find the link full wait and
-/// leave by the timer, none is lost, and the flows stay where they are.
+/// Guards against packets lost at a full link. 16 flows send requests at the same moment through balancers
+/// with links of 0.25 Mbit/s: packets that find the link full wait until the timer sends them, none is
+/// dropped, and the flows stay at their targets.
 #[test]
 fn packets_wait_for_a_thin_link() {
     on_runtime(async {
         let link = "0.25 Mbit/s".parse().ok();
-        let mut fleet = FlowFleet::start_behind(link, 2, &[("orders", 3)]).await?;
+        let mut fleet = FlowFleet::start_with_link(link, 2, &[("orders", 3)]).await?;
         let caller = fleet.caller(0).await?;
         let mut flows = open(&caller, &fleet, 16).await;
-        let owners = ask(&mut flows).await;
-        assert!(owners.iter().all(Result::is_ok), "{owners:?}");
+        let targets = request_all(&mut flows).await;
+        assert!(targets.iter().all(Result::is_ok), "{targets:?}");
         for _ in 0..3 {
             let answers = join_all(flows.iter_mut().map(OpenFlow::request)).await;
-            assert_eq!(answers, owners);
+            assert_eq!(answers, targets);
         }
         let mut waited = 0.0;
         for balancer in ["balancer-1", "balancer-2"] {
@@ -329,7 +334,9 @@
     });
 }
 
-/// All connections to the store that are open go silent for good, as behind a firewall that has forgotten them.
+/// Processes must replace connections to the store on which nothing arrives any more, as happens when a
+/// firewall has dropped their state. All open connections go silent for good; a later change must still
+/// take effect.
 #[test]
 fn silent_connections_replaced() {
     on_runtime(async {
@@ -338,7 +345,7 @@
         fleet.set_route(2, "orders").await?;
         open(&caller, &fleet, 4).await;
 
-        fleet.proxy().silence_open();
+        fleet.proxy().silence_open_connections();
         fleet.set_route(3, "labels").await?;
         let started = std::time::Instant::now();
         loop {
@@ -347,9 +354,12 @@
             if answer.is_ok_and(|run| run.starts_with("labels")) {
                 break;
             }
-            assert!(started.elapsed() < NOTICED, "the route is not in force");
+            assert!(
+                started.elapsed() < SETTING_IN_FORCE_LIMIT,
+                "the changed route is not in force"
+            );
         }
-        assert!(fleet.proxy().swallowed() > 0, "no connection was in use");
+        assert!(fleet.proxy().discarded_bytes() > 0, "no silenced connection was used");
         Ok(())
     });
 }
--- a/crates/dillmill-standins/tests/flow_soaks.rs
+++ b/crates/dillmill-standins/tests/flow_soaks.rs
@@ -1,10 +1,14 @@
-//! A short run of the soak of packet flows; longer ones are run by hand (`dillmill-standins soak`).
+//! Short soak runs of packet flows. Longer ones are started by hand (`dillmill-standins soak`).
 //!
-//! Seeds that have failed stay here: 19 (a burst of short flows was refused by idle targets, as an answered
-//! flow counted as a request for 30 ms; the decision's own test is `answered_flow_counts_no_more`), 10 (11 of 20
-//! openings were reset after all faults, once in 15 runs; cause not traced, see docs/QUESTIONS.md), 48 (a new flow was
-//! answered by the route's next service before the soak had noted the change: its own fault). Seed 301 is one with thin links, 401 one with
-//! two data centres that are evacuated by turns.
+//! Seeds that have failed are kept as regression tests:
+//! - 19: idle targets refused a burst of short flows, as an answered flow counted as a request for 30 ms;
+//!   `answered_flow_counts_no_more` tests that decision alone.
+//! - 10: after all faults 11 of 20 opening attempts were reset, in one of 15 runs; the cause is not known,
+//!   see docs/QUESTIONS.md.
+//! - 48: a new flow was answered by the next service of the route before the soak had recorded the change;
+//!   this was a fault of the soak itself.
+//!
+//! Seed 301 runs with thin links, seed 401 with two data centres that are evacuated in turn.
 
 use std::time::Duration;
 
@@ -16,6 +20,6 @@
     let runtime = compio::runtime::Runtime::new().unwrap();
     let length = Duration::from_secs(8);
     let report = runtime.block_on(flow_soak::run(seed, length)).unwrap();
-    assert!(report.broken.is_empty(), "{report:#?}");
+    assert!(report.violations.is_empty(), "{report:#?}");
     assert!(report.answered > 50, "{report:#?}");
 }
--- a/crates/dillmill-standins/tests/scenarios.rs
+++ b/crates/dillmill-standins/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Runs each script of `tests/scenarios` on a cluster of its own.
+//! Runs each script in `tests/scenarios` on a separate cluster.
 
 use std::path::PathBuf;
 
--- a/crates/dillmill-standins/tests/settings_watches.rs
+++ b/crates/dillmill-standins/tests/settings_watches.rs
@@ -1,4 +1,5 @@
-//! What a process that waits for changes of settings hears when they come in quick succession.
+//! Tests that a process waiting for changes of settings receives all of them when they are made in quick
+//! succession.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -7,11 +8,11 @@
 use dillmill_standins::platform;
 use dillmill_store::{CasOutcome, Entries};
 
-const SOON: Duration = Duration::from_millis(300);
+const WAIT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Starts a store and returns a client of it.
+/// Starts a store and returns a client for it.
 async fn store() -> Store {
-    // A port that was free a moment ago.
+    // The port was bound and released just before, so it is most likely free.
     let port = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let addr: SocketAddr = port.local_addr().unwrap();
     drop(port);
@@ -32,23 +33,27 @@
     format!("settings/log/{n}")
 }
 
-/// The script `settings_spread`, once in four runs of CI: the only watcher heard of the first of three changes
-/// together with a version of the store behind the others, and waited for what came after that.
+/// Guards against changes missed by a watcher, seen in one of four CI runs of the script
+/// `settings_spread`: the only watcher received the first of three changes with a store version later than
+/// the other two, and then waited for changes after that version.
 #[test]
 fn changes_behind_the_first_are_heard() {
     compio::runtime::Runtime::new().unwrap().block_on(async {
         let store = store().await;
         let (operator, watcher) = (Entries::new(store.clone()), Entries::new(store));
         write(&operator, 1).await;
-        assert!(watcher.wait_for(&key(1), SOON).await.unwrap().is_some());
+        assert!(watcher.wait_for(&key(1), WAIT_TIMEOUT).await.unwrap().is_some());
         for n in 2..=4 {
             write(&operator, n).await;
         }
         for n in 2..=4 {
-            assert!(watcher.wait_for(&key(n), SOON).await.unwrap().is_some(), "{n}");
+            assert!(watcher.wait_for(&key(n), WAIT_TIMEOUT).await.unwrap().is_some(), "{n}");
         }
-        assert!(watcher.wait_for(&key(5), SOON).await.unwrap().is_none());
+        assert!(watcher.wait_for(&key(5), WAIT_TIMEOUT).await.unwrap().is_none());
         write(&operator, 5).await;
-        assert!(watcher.wait_for(&key(5), SOON).await.unwrap().is_some(), "after an empty wait");
+        assert!(
+            watcher.wait_for(&key(5), WAIT_TIMEOUT).await.unwrap().is_some(),
+            "after an empty wait"
+        );
     });
 }
--- a/crates/dillmill-standins/tests/waiting_orders.rs
+++ b/crates/dillmill-standins/tests/waiting_orders.rs
@@ -1,4 +1,4 @@
-//! Orders of waiting opening packets, compared in virtual time after a loss of power.
+//! Compares queueing orders for waiting opening packets, in virtual time after a power failure.
 
 use dillmill_standins::waiting::{Order, Tally, menus, play};
 use rstest::rstest;
@@ -16,7 +16,8 @@
     assert!(patience.lost * 3 < newest.lost, "{patience:?} {newest:?}");
 }
 
-/// The oldest first does its work for callers that have just gone, once the wait is as long as their patience.
+/// Oldest-first never recovers: once the queueing delay is as long as the callers' attempt timeout,
+/// targets work on packets of callers that have just given up.
 #[test]
 fn oldest_first_never_recovers() {
     let oldest = tally(Order::Oldest, 480.0);
--- a/crates/dillmill/src/command.rs
+++ b/crates/dillmill/src/command.rs
@@ -1,47 +1,48 @@
-//! The command line of `dillmill`.
+//! Parsing of the `dillmill` command line.
 
 use std::path::PathBuf;
 
 use getopts::{Matches, Options};
 
-/// A role that a process can have.
+/// Role of a process, as named on the command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoleCommand {
-    /// Route packets of callers.
+    /// Routes the packets of callers to agents.
     Balancer,
-    /// Run requests on the target beside it.
+    /// Runs requests on the target beside it.
     Agent,
 }
 
-/// Where the settings of a process come from, and with them what it serves.
+/// Source of the settings of a process; it also determines whether the process serves HTTP/3 or packet
+/// flows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Source {
-    /// A settings file of dillmill's own: HTTP/3 services.
+pub enum SettingsSource {
+    /// A settings file in dillmill's own format; the process serves HTTP/3 services.
     File(PathBuf),
-    /// The users' platform: packet flows.
+    /// The users' platform; the process carries packet flows.
     Platform {
-        /// Port of the administration page on the VM's address; none: on loopback, any free one.
+        /// Port of the administration page on the VM's address; `None` for any free port on loopback.
         metrics_port: Option<u16>,
     },
 }
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Run a role.
+    /// Run a process.
     Run {
-        /// The role.
+        /// Role of the process.
         role: RoleCommand,
-        /// Where its settings come from.
-        source: Source,
-        /// Only check the settings file.
+        /// Source of its settings.
+        source: SettingsSource,
+        /// Check the settings file and exit.
         check: bool,
     },
-    /// Show the given text.
+    /// Print the given text and exit.
     Show(String),
 }
 
-/// The command line is wrong.
+/// The command line is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}\nTry `dillmill --help`.")]
 pub struct UsageError(String);
@@ -71,11 +72,11 @@
     opts
 }
 
-/// Reads a command line without the program's name.
+/// Parses a command line; `args` does not include the program's name.
 ///
 /// # Errors
 ///
-/// Says what is wrong with it.
+/// Returns what is invalid in the command line.
 pub fn parse(args: &[String]) -> Result<Command, UsageError> {
     let opts = options();
     let matches = opts.parse(args).map_err(|e| UsageError(e.to_string()))?;
@@ -89,12 +90,12 @@
         [] => return Err(UsageError("name a role: balancer or agent".to_owned())),
         [role] if role == "balancer" => RoleCommand::Balancer,
         [role] if role == "agent" => RoleCommand::Agent,
-        [other, ..] => return Err(UsageError(format!("`{other}` is no role"))),
+        [other, ..] => return Err(UsageError(format!("unknown role `{other}`"))),
     };
     Ok(Command::Run { role, source: source(&matches)?, check: matches.opt_present("check") })
 }
 
-fn source(matches: &Matches) -> Result<Source, UsageError> {
+fn source(matches: &Matches) -> Result<SettingsSource, UsageError> {
     let metrics_port = matches.opt_str("metrics-port");
     match (matches.opt_str("config"), matches.opt_present("platform")) {
         (Some(_), true) => Err(UsageError("--config and --platform exclude each other".to_owned())),
@@ -102,11 +103,12 @@
         (Some(_), false) if metrics_port.is_some() => Err(UsageError(
             "--metrics-port goes with --platform; a settings file has `admin`".to_owned(),
         )),
-        (Some(path), false) => Ok(Source::File(path.into())),
+        (Some(path), false) => Ok(SettingsSource::File(path.into())),
         (None, true) => {
-            let wrong = |text: &str| UsageError(format!("--metrics-port {text} is no port"));
+            let wrong =
+                |text: &str| UsageError(format!("--metrics-port {text} is not a port number"));
             let port = metrics_port.map(|text| text.parse().map_err(|_| wrong(&text)));
-            Ok(Source::Platform { metrics_port: port.transpose()? })
+            Ok(SettingsSource::Platform { metrics_port: port.transpose()? })
         }
     }
 }
--- a/crates/dillmill/src/lib.rs
+++ b/crates/dillmill/src/lib.rs
@@ -1,7 +1,7 @@
 //! dillmill: a layer-4 load balancer for organisations whose groups share one pool of targets.
 //!
-//! This crate re-exports the parts that a program of one's own would use, and holds the command
-//! line of the `dillmill` program. `ARCHITECTURE.md` shows how the parts work together.
+//! This crate re-exports the types needed to embed dillmill in another program, and parses the command
+//! line of the `dillmill` program. `ARCHITECTURE.md` describes how the parts work together.
 
 pub mod command;
 
--- a/crates/dillmill/src/main.rs
+++ b/crates/dillmill/src/main.rs
@@ -1,9 +1,9 @@
-//! The `dillmill` program.
+//! The `dillmill` program: runs a balancer or an agent until it is stopped by a signal.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use dillmill::command::{self, Command, RoleCommand, Source};
+use dillmill::command::{self, Command, RoleCommand, SettingsSource};
 use dillmill::{Agent, Balancer, NodeError, ProcessConfig};
 use dillmill_flow::reload::SettingsReloader;
 use dillmill_flow::{FlowAgent, FlowBalancer};
@@ -16,7 +16,7 @@
 use futures_util::pin_mut;
 
 const FAILED: u8 = 1;
-const WRONG_INPUT: u8 = 2;
+const INVALID_INPUT: u8 = 2;
 
 #[compio::main]
 async fn main() -> ExitCode {
@@ -27,11 +27,13 @@
             print!("{text}");
             return ExitCode::SUCCESS;
         }
-        Err(e) => return fail(WRONG_INPUT, &e),
+        Err(e) => return fail(INVALID_INPUT, &e),
     };
     let code = match source {
-        Source::File(path) => Box::pin(serve_http3(role, &path, check)).await,
-        Source::Platform { metrics_port } => Box::pin(serve_flows(role, metrics_port, check)).await,
+        SettingsSource::File(path) => Box::pin(serve_http3(role, &path, check)).await,
+        SettingsSource::Platform { metrics_port } => {
+            Box::pin(serve_flows(role, metrics_port, check)).await
+        }
     };
     logging::flush();
     code
@@ -42,27 +44,27 @@
     ExitCode::from(code)
 }
 
-fn finish(outcome: Result<(), Report<NodeError>>) -> ExitCode {
+fn to_exit_code(outcome: Result<(), Report<NodeError>>) -> ExitCode {
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => fail(FAILED, report.current_context()),
     }
 }
 
-fn checked(path: &Path) -> ExitCode {
+fn report_valid(path: &Path) -> ExitCode {
     println!("{}: good", path.display());
     ExitCode::SUCCESS
 }
 
 async fn serve_http3(role: RoleCommand, path: &Path, check: bool) -> ExitCode {
-    let config = match ProcessConfig::open(path).and_then(|c| for_role(c, role, path)) {
+    let config = match ProcessConfig::open(path).and_then(|c| check_role(c, role, path)) {
         Ok(config) => config,
-        Err(report) => return fail(WRONG_INPUT, report.current_context()),
+        Err(report) => return fail(INVALID_INPUT, report.current_context()),
     };
     if check {
-        return checked(path);
+        return report_valid(path);
     }
-    finish(run_http3(role, &config).await)
+    to_exit_code(run_http3(role, &config).await)
 }
 
 async fn serve_flows(role: RoleCommand, metrics_port: Option<u16>, check: bool) -> ExitCode {
@@ -72,13 +74,13 @@
     });
     let (path, settings) = match opened {
         Ok(opened) => opened,
-        Err(e) => return fail(WRONG_INPUT, &e),
+        Err(e) => return fail(INVALID_INPUT, &e),
     };
     if check {
-        return checked(&path);
+        return report_valid(&path);
     }
     let hang_ups = HangUps::register().await;
-    finish(run_flows(role, path, settings, metrics_port, hang_ups).await)
+    to_exit_code(run_flows(role, path, settings, metrics_port, hang_ups).await)
 }
 
 async fn run_flows(
@@ -94,19 +96,19 @@
             let journal = balancer.node.handle.journal.clone();
             SettingsReloader::spawn(path, settings, balancer.stop_limit.clone(), journal, hang_ups);
             stop::requested().await;
-            stop_or_second(balancer.stop()).await
+            stop_or_abort(balancer.stop()).await
         }
         RoleCommand::Agent => {
             let agent = FlowAgent::spawn(&settings, metrics_port).await?;
             let journal = agent.node.handle.journal.clone();
             SettingsReloader::spawn(path, settings, agent.stop_limit.clone(), journal, hang_ups);
             stop::requested().await;
-            stop_or_second(agent.stop()).await
+            stop_or_abort(agent.stop()).await
         }
     }
 }
 
-fn for_role(
+fn check_role(
     config: ProcessConfig,
     role: RoleCommand,
     path: &Path,
@@ -124,31 +126,32 @@
         (RoleCommand::Agent, None) | (RoleCommand::Balancer, _) => {
             let balancer = Balancer::spawn(config).await?;
             stop::requested().await;
-            stop_or_second(balancer.stop()).await
+            stop_or_abort(balancer.stop()).await
         }
     }
 }
 
-/// Runs an agent; a stop that is asked for before it has settings ends it at once.
+/// Runs an agent until it is stopped. A stop signal that arrives while the agent still waits for its
+/// settings ends the process immediately.
 async fn run_agent(config: &ProcessConfig, agent: &AgentConfig) -> Result<(), Report<NodeError>> {
     let starting = Box::pin(Agent::spawn(config, agent));
     let stopping = Box::pin(stop::requested());
     if let Either::Left((agent, stopping)) = select(starting, stopping).await {
         let agent = agent?;
         stopping.await;
-        return stop_or_second(Box::pin(agent.stop())).await;
+        return stop_or_abort(Box::pin(agent.stop())).await;
     }
     Ok(())
 }
 
-/// Stops as planned; a second signal ends the process at once, which is a failure.
-async fn stop_or_second(stopping: impl Future<Output = ()>) -> Result<(), Report<NodeError>> {
+/// Performs the planned stop. A second signal ends the process immediately, which is reported as a failure.
+async fn stop_or_abort(stopping: impl Future<Output = ()>) -> Result<(), Report<NodeError>> {
     let second = stop::requested();
     pin_mut!(stopping, second);
     match select(stopping, second).await {
         Either::Left(_) => Ok(()),
         Either::Right(_) => {
-            let what = "a second signal came before the planned stop was done";
+            let what = "a second signal arrived before the planned stop was complete";
             Err(Report::new(NodeError::new("stop", "process", what)))
         }
     }
--- a/crates/dillmill/tests/command_line.rs
+++ b/crates/dillmill/tests/command_line.rs
@@ -1,9 +1,9 @@
-//! The command line of `dillmill`.
+//! Tests of the `dillmill` command line and of `--check`.
 
 use std::path::PathBuf;
 use std::process::Command as Program;
 
-use dillmill::command::{Command, RoleCommand, Source, parse};
+use dillmill::command::{Command, RoleCommand, SettingsSource, parse};
 use rstest::rstest;
 
 const GOOD: &str = "\
@@ -22,7 +22,7 @@
 #[test]
 fn role_and_file_read() {
     let command = parse(&words("agent --config a.yaml --check")).unwrap();
-    let source = Source::File(PathBuf::from("a.yaml"));
+    let source = SettingsSource::File(PathBuf::from("a.yaml"));
     assert_eq!(command, Command::Run { role: RoleCommand::Agent, source, check: true });
 }
 
@@ -30,7 +30,7 @@
 #[case("balancer --platform", None)]
 #[case("balancer --platform --metrics-port 9464", Some(9464))]
 fn platform_read(#[case] line: &str, #[case] metrics_port: Option<u16>) {
-    let source = Source::Platform { metrics_port };
+    let source = SettingsSource::Platform { metrics_port };
     let run = Command::Run { role: RoleCommand::Balancer, source, check: false };
     assert_eq!(parse(&words(line)).unwrap(), run);
 }
@@ -79,7 +79,7 @@
 #[case::unknown_key("balancer", format!("{GOOD}colour: red\n"), "p.yaml:7")]
 #[case::bad_yaml("balancer", "vm: [".to_owned(), "p.yaml")]
 fn bad_files_refused(#[case] role: &str, #[case] text: String, #[case] expected: &str) {
-    let (code, said) = check(role, &text);
+    let (code, output_text) = check(role, &text);
     assert_eq!(code, 2);
-    assert!(said.contains(expected), "{said}");
+    assert!(output_text.contains(expected), "{output_text}");
 }
--- a/crates/dillmillctl/src/command.rs
+++ b/crates/dillmillctl/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the operator's program.
+//! Parsing of the `dillmillctl` command line, and its help texts.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::logs::LogSource;
 use crate::verbs::Subject;
 
-/// What is asked for.
+/// A verb of the command line with its arguments.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Verb {
     Check { path: NodePath, file: PathBuf },
@@ -27,7 +27,7 @@
     Explain { subject: Subject, logs: LogSource },
 }
 
-/// A command with the options that all verbs have.
+/// A verb with the options common to all verbs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Invocation {
     pub(crate) verb: Verb,
@@ -35,7 +35,7 @@
     pub(crate) json: bool,
 }
 
-/// Outcome of reading a command line.
+/// Result of parsing a command line: a command to run, or a text to print.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Parsed {
     Run(Invocation),
@@ -116,13 +116,13 @@
     opts
 }
 
-fn usage(e: impl std::fmt::Display) -> CtlError {
+fn usage_error(e: impl std::fmt::Display) -> CtlError {
     CtlError::Usage(e.to_string())
 }
 
 pub(crate) fn parse(args: &[String]) -> Result<Parsed, CtlError> {
     let opts = options();
-    let matches = opts.parse(args).map_err(usage)?;
+    let matches = opts.parse(args).map_err(usage_error)?;
     let verb = matches.free.first().map(String::as_str);
     if matches.opt_present("help") {
         let text = verb
@@ -133,7 +133,7 @@
     if matches.opt_present("version") {
         return Ok(Parsed::Show(format!("dillmillctl {}\n", env!("CARGO_PKG_VERSION"))));
     }
-    let verb = verb.ok_or_else(|| usage("name a verb"))?;
+    let verb = verb.ok_or_else(|| usage_error("name a verb"))?;
     let rest: Vec<&str> = matches.free[1..].iter().map(String::as_str).collect();
     let verb = parse_verb(verb, &rest, &matches)?;
     let config = matches.opt_str("config").unwrap_or_else(|| "dillmillctl.yaml".to_owned());
@@ -141,8 +141,8 @@
 }
 
 fn parse_verb(verb: &str, rest: &[&str], matches: &Matches) -> Result<Verb, CtlError> {
-    let seen = || matches.opt_str("seen").map(|s| s.parse().map_err(usage)).transpose();
-    let node = |text: &str| text.parse::<NodePath>().map_err(usage);
+    let seen = || matches.opt_str("seen").map(|s| s.parse().map_err(usage_error)).transpose();
+    let node = |text: &str| text.parse::<NodePath>().map_err(usage_error);
     match (verb, rest) {
         ("check", [path, file]) => Ok(Verb::Check { path: node(path)?, file: file.into() }),
         ("get", []) => Ok(Verb::Get { path: None }),
@@ -155,55 +155,55 @@
             Ok(Verb::Edit { path: node(path)?, values, seen: seen()? })
         }
         ("delete", [path]) => Ok(Verb::Delete { path: node(path)?, seen: seen()? }),
-        ("diff", [from]) => Ok(Verb::Diff { from: from.parse().map_err(usage)?, to: None }),
+        ("diff", [from]) => Ok(Verb::Diff { from: from.parse().map_err(usage_error)?, to: None }),
         ("diff", [from, to]) => Ok(Verb::Diff {
-            from: from.parse().map_err(usage)?,
-            to: Some(to.parse().map_err(usage)?),
+            from: from.parse().map_err(usage_error)?,
+            to: Some(to.parse().map_err(usage_error)?),
         }),
         ("effective", [service]) => {
-            Ok(Verb::Effective { service: service.parse().map_err(usage)?, group: None })
+            Ok(Verb::Effective { service: service.parse().map_err(usage_error)?, group: None })
         }
         ("effective", [service, group]) => Ok(Verb::Effective {
-            service: service.parse().map_err(usage)?,
-            group: Some(group.parse().map_err(usage)?),
+            service: service.parse().map_err(usage_error)?,
+            group: Some(group.parse().map_err(usage_error)?),
         }),
         ("history", []) => Ok(Verb::History),
         ("status", []) => Ok(Verb::Status { wait: wait(matches)? }),
         ("timeline", []) => Ok(Verb::Timeline { kind: matches.opt_str("kind") }),
         ("explain", [subject]) => {
-            Ok(Verb::Explain { subject: subject_of(subject, matches)?, logs: logs(matches)? })
+            Ok(Verb::Explain { subject: parse_subject(subject, matches)?, logs: logs(matches)? })
         }
-        _ if verb_help(verb).is_some() => {
-            Err(usage(format!("wrong arguments for `{verb}`; see `dillmillctl {verb} --help`")))
-        }
-        _ => Err(usage(format!("`{verb}` is no verb"))),
+        _ if verb_help(verb).is_some() => Err(usage_error(format!(
+            "wrong arguments for `{verb}`; see `dillmillctl {verb} --help`"
+        ))),
+        _ => Err(usage_error(format!("`{verb}` is no verb"))),
     }
 }
 
 fn wait(matches: &Matches) -> Result<Option<Duration>, CtlError> {
-    let wait = matches.opt_str("wait").map(|text| text.parse::<Interval>().map_err(usage));
+    let wait = matches.opt_str("wait").map(|text| text.parse::<Interval>().map_err(usage_error));
     Ok(wait.transpose()?.map(Interval::duration))
 }
 
-fn subject_of(text: &str, matches: &Matches) -> Result<Subject, CtlError> {
+fn parse_subject(text: &str, matches: &Matches) -> Result<Subject, CtlError> {
     let page = matches.opt_str("page").map(PathBuf::from);
     if text.contains("..") {
-        return Ok(Subject::Span(text.parse().map_err(usage)?, page));
+        return Ok(Subject::Span(text.parse().map_err(usage_error)?, page));
     }
     if page.is_some() {
-        return Err(usage("--page goes with FROM..TO only"));
+        return Err(usage_error("--page goes with FROM..TO only"));
     }
-    text.parse().map(Subject::Flow).map_err(usage)
+    text.parse().map(Subject::Flow).map_err(usage_error)
 }
 
 fn logs(matches: &Matches) -> Result<LogSource, CtlError> {
     let path =
-        matches.opt_str("logs").ok_or_else(|| usage("say with --logs where the logs are"))?;
-    path.parse().map_err(usage)
+        matches.opt_str("logs").ok_or_else(|| usage_error("say with --logs where the logs are"))?;
+    path.parse().map_err(usage_error)
 }
 
 fn parse_value(text: &str) -> Result<(String, String), CtlError> {
     let (key, value) =
-        text.split_once('=').ok_or_else(|| usage(format!("`{text}` is not KEY=VALUE")))?;
+        text.split_once('=').ok_or_else(|| usage_error(format!("`{text}` is not KEY=VALUE")))?;
     Ok((key.to_owned(), value.to_owned()))
 }
--- a/crates/dillmillctl/src/config.rs
+++ b/crates/dillmillctl/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings file of the operator's program.
+//! The settings file of `dillmillctl`.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -17,14 +17,14 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct CtlConfig {
-    /// The platform, such as `http://10.0.0.1:8000`.
+    /// URL of the platform, such as `http://10.0.0.1:8000`.
     pub(crate) platform: String,
-    /// Key of the installation, 64 hexadecimal digits.
+    /// Cluster key of the installation, 64 hexadecimal digits.
     pub(crate) cluster_key: Secret,
-    /// Control addresses of some processes, for `status` and `timeline`.
+    /// Control addresses of some processes, which `status` and `timeline` ask for the list of members.
     #[serde(default)]
     pub(crate) peers: Vec<SocketAddrV4>,
-    /// Who makes changes.
+    /// Author recorded with each change.
     #[serde(default = "default_author")]
     pub(crate) author: String,
 }
--- a/crates/dillmillctl/src/error.rs
+++ b/crates/dillmillctl/src/error.rs
@@ -1,35 +1,35 @@
-//! Errors of the operator's program and their exit codes.
+//! Errors of `dillmillctl` and their exit codes.
 
 use dillmill_node::NodeError;
 use dillmill_platform::PlatformError;
 use dillmill_store::WriteError;
 use error_stack::Report;
 
-/// Why a command failed.
+/// Reason why a command failed; each variant has its exit code.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CtlError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}\nTry `dillmillctl --help`.")]
     Usage(String),
-    /// A file or an argument is wrong.
+    /// A file or an argument is invalid.
     #[error("{0}")]
     Input(String),
-    /// The tree would be wrong; nothing was written.
+    /// The edit would make the settings tree invalid; nothing was written.
     #[error("{0}")]
     Refused(String),
-    /// Someone else changed the node; nothing was written.
+    /// Another author changed the node in the meantime; nothing was written.
     #[error("{0}")]
     Conflict(String),
-    /// The platform or a process failed.
+    /// The platform or a process did not answer or returned an error.
     #[error("{0}")]
     Unreachable(String),
-    /// Not every process has the revision yet.
+    /// Not every process runs with the newest revision yet.
     #[error("{0}")]
     Behind(String),
 }
 
 impl CtlError {
-    /// Returns the exit code: see `dillmillctl --help`.
+    /// Returns the exit code, as listed by `dillmillctl --help`.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             Self::Unreachable(_) => 1,
--- a/crates/dillmillctl/src/explain.rs
+++ b/crates/dillmillctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! What the logs of all processes tell of one flow, or of a span of time.
+//! Evaluation of the logs of all processes: the path of one flow, or the flows of a span of time.
 
 mod flow_end;
 mod flow_path;
--- a/crates/dillmillctl/src/explain/flow_end.rs
+++ b/crates/dillmillctl/src/explain/flow_end.rs
@@ -1,52 +1,55 @@
+//! Classification of how a flow ended.
+
 use std::fmt;
 
-/// How a flow ended, as far as the logs tell.
+/// How a flow ended, as far as it is logged. Causes have their numbers replaced by `N`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum FlowEnd {
-    /// Its caller was told that it is over; the cause.
+    /// A reset was sent to its caller; holds the cause.
     Reset(String),
-    /// It was not taken; the cause.
+    /// It was refused or dropped; holds the cause.
     Refused(String),
-    /// The target reset it.
+    /// Its target reset it.
     ResetByTarget,
-    /// Its last packet waits, at an agent or at a balancer.
+    /// Its last packet waits at an agent or a balancer.
     Waits,
-    /// Nobody held it, and its caller was not told.
+    /// No process held it, and no reset was sent to its caller.
     Missing,
-    /// The target has it: answers are not logged.
+    /// Its packets were given to the target. Whether the target answered is not logged.
     AtTarget,
-    /// It was on its way between processes.
-    OnItsWay,
+    /// It was being passed between processes.
+    InTransit,
 }
 
 impl FlowEnd {
-    /// Returns what a decision means for the end of its flow if nothing follows.
+    /// Returns the end of a flow whose last logged decision is `decided`.
     pub(crate) fn of(decided: &str, cause: &str) -> Self {
-        let first = decided.split(' ').next().unwrap_or_default();
-        match (first, decided) {
+        let first_word = decided.split(' ').next().unwrap_or_default();
+        match (first_word, decided) {
             ("reset", "reset passed on") => Self::ResetByTarget,
             ("given" | "tried", _) | ("reset", "reset held back") => Self::AtTarget,
             ("reset", _) => Self::Reset(without_numbers(cause)),
             ("refused" | "dropped", _) => Self::Refused(without_numbers(cause)),
             ("waits", _) => Self::Waits,
             ("missing", _) => Self::Missing,
-            _ => Self::OnItsWay,
+            _ => Self::InTransit,
         }
     }
 
-    /// Returns whether it outweighs an end that a later line of another process tells.
+    /// Returns whether this end is reported instead of one that another process logged later.
     ///
-    /// A refusal has its reason at the agent; the balancer's reset that follows only says where it came from.
-    pub(crate) fn explains(&self, later: &Self) -> bool {
-        let behind = |cause: &String| cause.starts_with("refused behind");
-        matches!((self, later), (Self::Refused(_), Self::Reset(cause)) if behind(cause))
+    /// The agent logs the reason of a refusal; the balancer's reset that follows names only the agent that
+    /// refused.
+    pub(crate) fn takes_precedence_over(&self, later: &Self) -> bool {
+        let is_relayed = |cause: &String| cause.starts_with("refused behind");
+        matches!((self, later), (Self::Refused(_), Self::Reset(cause)) if is_relayed(cause))
     }
 
-    /// Returns the part of docs/OPERATIONS.md to read next.
+    /// Returns the title of the section of docs/OPERATIONS.md that covers this end.
     pub(crate) fn page(&self) -> &'static str {
         match self {
             Self::Refused(_) => "1. A new flow is refused",
-            Self::Reset(_) | Self::Missing | Self::ResetByTarget | Self::OnItsWay => {
+            Self::Reset(_) | Self::Missing | Self::ResetByTarget | Self::InTransit => {
                 "2. An open flow ends without an answer"
             }
             Self::AtTarget | Self::Waits => "3. An answer comes late",
@@ -63,12 +66,12 @@
             Self::Waits => f.write_str("waits"),
             Self::Missing => f.write_str("nobody holds it, its caller was not told"),
             Self::AtTarget => f.write_str("with its target (answers are not logged)"),
-            Self::OnItsWay => f.write_str("on its way between processes"),
+            Self::InTransit => f.write_str("on its way between processes"),
         }
     }
 }
 
-/// Replaces process numbers and counts, so that equal reasons are counted together.
+/// Replaces process ids and counts by `N`, so that causes that differ only in these are counted together.
 fn without_numbers(cause: &str) -> String {
     let is_number = |word: &str| {
         let digits = word.bytes().filter(u8::is_ascii_digit).count();
--- a/crates/dillmillctl/src/explain/flow_path.rs
+++ b/crates/dillmillctl/src/explain/flow_path.rs
@@ -1,3 +1,5 @@
+//! The path of one flow through the processes, collected from their logs.
+
 use std::collections::BTreeSet;
 
 use dillmill_core::FlowTuple;
@@ -5,10 +7,10 @@
 use super::flow_end::FlowEnd;
 use super::flow_report::{FlowDecision, FlowReport};
 use super::gaps::Gaps;
-use super::process_vms::ProcessNames;
-use crate::logs::{LogLine, LogTime, Unreadable};
+use super::process_vms::ProcessVms;
+use crate::logs::{LogLine, LogTime, UnreadableLines};
 
-/// One decision on the flow.
+/// One logged decision on the flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Step {
     at: LogTime,
@@ -17,25 +19,25 @@
     cause: String,
 }
 
-/// All that the logs tell of one flow.
+/// Collects the logged decisions on one flow.
 #[derive(Debug)]
 pub(crate) struct FlowPath {
     flow: FlowTuple,
     steps: Vec<Step>,
-    names: ProcessNames,
+    vms: ProcessVms,
     gaps: Gaps,
 }
 
 impl FlowPath {
-    /// Creates the path of `flow`, without any line.
+    /// Creates an empty path of `flow`.
     pub(crate) fn new(flow: FlowTuple) -> Self {
-        Self { flow, steps: Vec::new(), names: ProcessNames::default(), gaps: Gaps::default() }
+        Self { flow, steps: Vec::new(), vms: ProcessVms::default(), gaps: Gaps::default() }
     }
 
-    /// Takes in a line of any process.
-    pub(crate) fn note(&mut self, line: &LogLine) {
-        self.names.note(line);
-        self.gaps.note(line);
+    /// Adds a log line of any process.
+    pub(crate) fn add_line(&mut self, line: &LogLine) {
+        self.vms.add_line(line);
+        self.gaps.add_line(line);
         if let Some((flow, decided)) = line.flow_decision()
             && flow == self.flow
         {
@@ -48,36 +50,38 @@
         }
     }
 
-    /// Puts the steps in order once all lines are in.
+    /// Sorts the steps by time; to be called after all lines are added.
     #[must_use]
     pub(crate) fn sorted(mut self) -> Self {
         self.steps.sort_by_key(|step| step.at);
         self
     }
 
-    /// Returns whether no line is about the flow.
+    /// Returns whether no log line was about the flow.
     pub(crate) fn is_empty(&self) -> bool {
         self.steps.is_empty()
     }
 
+    /// Returns the end of the flow: that of the last step, unless an earlier one takes precedence.
     fn end(&self) -> Option<FlowEnd> {
         self.steps.iter().fold(None, |before: Option<FlowEnd>, step| {
             let end = FlowEnd::of(&step.decided, &step.cause);
             match before {
-                Some(before) if before.explains(&end) => Some(before),
+                Some(before) if before.takes_precedence_over(&end) => Some(before),
                 _ => Some(end),
             }
         })
     }
 
-    /// Returns what the reader should know besides the steps.
-    fn remarks(&self, unreadable: &Unreadable) -> Vec<String> {
+    /// Returns remarks on what the logs lack: unreadable lines, gaps, and processes whose start is not
+    /// logged.
+    fn remarks(&self, unreadable: &UnreadableLines) -> Vec<String> {
         let mut remarks = unreadable.remarks();
         if let (Some(first), Some(last)) = (self.steps.first(), self.steps.last()) {
             remarks.extend(self.gaps.remarks(first.at, last.at));
         }
-        if !self.names.is_empty() {
-            let unknown = |process: &&str| self.names.vm(process).is_none();
+        if !self.vms.is_empty() {
+            let unknown = |process: &&str| self.vms.vm(process).is_none();
             let missing: BTreeSet<&str> =
                 self.steps.iter().filter_map(Step::placed_at).filter(unknown).collect();
             remarks.extend(missing.into_iter().map(|process| {
@@ -87,8 +91,8 @@
         remarks
     }
 
-    /// Returns what is printed.
-    pub(crate) fn report(&self, unreadable: &Unreadable) -> FlowReport {
+    /// Returns the report to print.
+    pub(crate) fn report(&self, unreadable: &UnreadableLines) -> FlowReport {
         let end = self.end();
         FlowReport {
             flow: self.flow.to_string(),
@@ -107,16 +111,14 @@
             after_ms: u64::try_from(after).unwrap_or(u64::MAX),
             vm: step.vm.clone(),
             decided: step.decided.clone(),
-            placed_on: step
-                .placed_at()
-                .and_then(|process| self.names.vm(process))
-                .map(str::to_owned),
+            placed_on: step.placed_at().and_then(|process| self.vms.vm(process)).map(str::to_owned),
             cause: step.cause.clone(),
         }
     }
 }
 
 impl Step {
+    /// Returns the id of the process at which this step placed the flow.
     fn placed_at(&self) -> Option<&str> {
         self.decided.strip_prefix("placed at ")
     }
--- a/crates/dillmillctl/src/explain/flow_report.rs
+++ b/crates/dillmillctl/src/explain/flow_report.rs
@@ -1,27 +1,29 @@
+//! The printed report on one flow.
+
 use std::fmt;
 
 use serde::Serialize;
 
-/// The path of a flow and its end, as printed.
+/// The path of a flow and its end, printed as text or JSON.
 #[derive(Debug, Serialize)]
 pub(crate) struct FlowReport {
     pub(super) flow: String,
     pub(super) end: Option<String>,
-    /// Part of docs/OPERATIONS.md that tells more.
+    /// Title of the section of docs/OPERATIONS.md to read next.
     pub(super) page: Option<&'static str>,
     pub(super) decisions: Vec<FlowDecision>,
     pub(super) remarks: Vec<String>,
 }
 
-/// One decision on a flow, as printed.
+/// One decision on a flow, printed as text or JSON.
 #[derive(Debug, Serialize)]
 pub(crate) struct FlowDecision {
     pub(super) at: String,
-    /// Time since the first decision.
+    /// Milliseconds since the first decision.
     pub(super) after_ms: u64,
     pub(super) vm: String,
     pub(super) decided: String,
-    /// VM of the process at which the flow was placed.
+    /// VM of the process at which this decision placed the flow.
     pub(super) placed_on: Option<String>,
     pub(super) cause: String,
 }
--- a/crates/dillmillctl/src/explain/process_vms.rs
+++ b/crates/dillmillctl/src/explain/process_vms.rs
@@ -1,16 +1,18 @@
+//! Mapping of process ids to VM names.
+
 use std::collections::HashMap;
 
 use crate::logs::LogLine;
 
-/// VMs of the processes that have logged their start.
+/// VMs of the processes by process id, for all processes that have logged their start.
 #[derive(Debug, Default)]
-pub(crate) struct ProcessNames {
+pub(crate) struct ProcessVms {
     vms: HashMap<String, String>,
 }
 
-impl ProcessNames {
-    /// Takes in a line; only starts of processes matter.
-    pub(crate) fn note(&mut self, line: &LogLine) {
+impl ProcessVms {
+    /// Adds a log line; lines other than the start of a process are ignored.
+    pub(crate) fn add_line(&mut self, line: &LogLine) {
         if line.kind == "process"
             && line.what.ends_with(" started")
             && let Some(process) = line.cause.strip_prefix("process ")
@@ -19,7 +21,7 @@
         }
     }
 
-    /// Returns the VM of a process.
+    /// Returns the VM of a process, if its start is logged.
     pub(crate) fn vm(&self, process: &str) -> Option<&str> {
         self.vms.get(process).map(String::as_str)
     }
--- a/crates/dillmillctl/src/explain/second.rs
+++ b/crates/dillmillctl/src/explain/second.rs
@@ -1,6 +1,8 @@
+//! Counts of one second.
+
 use serde::Serialize;
 
-/// Decisions of one second.
+/// Numbers of decisions on flows, changes of members and unlogged decisions in one second.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(crate) struct Second {
     pub(super) placed: u64,
@@ -13,7 +15,7 @@
 }
 
 impl Second {
-    /// Counts a decision on a flow.
+    /// Counts a decision on a flow. A reset that was held back is not counted, as its caller did not get it.
     pub(super) fn count(&mut self, decided: &str) {
         let counter = match decided.split(' ').next() {
             Some("placed") => &mut self.placed,
--- a/crates/dillmillctl/src/explain/span.rs
+++ b/crates/dillmillctl/src/explain/span.rs
@@ -1,3 +1,5 @@
+//! Spans of time given on the command line.
+
 use std::str::FromStr;
 
 use crate::logs::LogTime;
@@ -21,8 +23,8 @@
 }
 
 impl Span {
-    /// Returns whether `at` is in the span.
-    pub(super) fn holds(self, at: LogTime) -> bool {
+    /// Returns whether `at` is within the span.
+    pub(super) fn contains(self, at: LogTime) -> bool {
         self.from <= at && at <= self.to
     }
 }
--- a/crates/dillmillctl/src/explain/span_page.rs
+++ b/crates/dillmillctl/src/explain/span_page.rs
@@ -1,37 +1,39 @@
-use super::plot::{self, Line};
+//! The report on a span of time as an HTML page.
+
+use super::plot::{self, Series};
 use super::span_report::SpanReport;
 
-const DECISIONS: &[Line] = &[
+const DECISIONS: &[Series] = &[
     ("placed", |second| second.placed),
     ("waits", |second| second.waits),
     ("refused", |second| second.refused),
     ("reset", |second| second.reset),
     ("missing", |second| second.missing),
 ];
-const MEMBERS: &[Line] = &[("changes of members", |second| second.members)];
-const LEFT_OUT: &[Line] = &[("decisions not logged", |second| second.left_out)];
+const MEMBERS: &[Series] = &[("changes of members", |second| second.members)];
+const LEFT_OUT: &[Series] = &[("decisions not logged", |second| second.left_out)];
 
-/// A report with plots over time, as one HTML page.
+/// Renders a report as an HTML page with plots over time.
 #[derive(Debug)]
 pub(crate) struct SpanPage<'a>(&'a SpanReport);
 
 impl<'a> SpanPage<'a> {
-    /// Creates the page of a report.
+    /// Creates the page for a report.
     pub(crate) fn new(report: &'a SpanReport) -> Self {
         Self(report)
     }
 
-    /// Returns the page; it needs no other file.
+    /// Returns the page as HTML that needs no other files.
     ///
     /// # Errors
     ///
-    /// Says why a plot can't be drawn.
+    /// Returns why a plot can't be drawn.
     pub(crate) fn html(&self) -> Result<String, String> {
         let mut plots = String::new();
         let parts =
             [("Decisions on flows", DECISIONS), ("Members", MEMBERS), ("Left out", LEFT_OUT)];
-        for (title, lines) in parts {
-            plots += &plot::plot(title, &self.0.seconds, lines)?;
+        for (title, series) in parts {
+            plots += &plot::plot(title, &self.0.seconds, series)?;
         }
         let report = self.0.to_string();
         let text = html_escape::encode_text(&report);
--- a/crates/dillmillctl/src/explain/span_report.rs
+++ b/crates/dillmillctl/src/explain/span_report.rs
@@ -1,3 +1,5 @@
+//! The printed report on a span of time.
+
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -5,10 +7,10 @@
 
 use super::second::Second;
 
-/// Most rows of a table: the rest is summed up.
-const ROWS: usize = 20;
+/// Maximum number of rows of a table; the number of remaining rows is printed below.
+const MAX_ROWS: usize = 20;
 
-/// How the flows of a span of time ended, as printed.
+/// How the flows of a span of time ended, printed as text or JSON.
 #[derive(Debug, Serialize)]
 pub(crate) struct SpanReport {
     pub(super) flows: usize,
@@ -46,13 +48,14 @@
     for (name, n) in largest(counts, |n| *n) {
         writeln!(f, "{n:>8}  {name}")?;
     }
-    let rest = counts.len().saturating_sub(ROWS);
+    let rest = counts.len().saturating_sub(MAX_ROWS);
     if rest > 0 { writeln!(f, "          and {rest} more") } else { Ok(()) }
 }
 
+/// Returns the entries with the largest sizes, at most [`MAX_ROWS`], in descending order.
 fn largest<T>(counts: &BTreeMap<String, T>, size: impl Fn(&T) -> u64) -> Vec<(&String, &T)> {
     let mut rows: Vec<(&String, &T)> = counts.iter().collect();
     rows.sort_by_key(|(_, n)| std::cmp::Reverse(size(n)));
-    rows.truncate(ROWS);
+    rows.truncate(MAX_ROWS);
     rows
 }
--- a/crates/dillmillctl/src/explain/span_tally.rs
+++ b/crates/dillmillctl/src/explain/span_tally.rs
@@ -1,3 +1,5 @@
+//! Counts of flow ends and decisions in a span of time.
+
 use std::collections::{BTreeMap, HashMap};
 
 use dillmill_core::FlowTuple;
@@ -7,35 +9,35 @@
 use super::second::Second;
 use super::span::Span;
 use super::span_report::SpanReport;
-use crate::logs::{LogLine, LogTime, Unreadable};
+use crate::logs::{LogLine, LogTime, UnreadableLines};
 
-/// The decision that tells how a flow ended.
+/// The decision that determines how a flow ended.
 #[derive(Debug)]
-struct Last {
+struct FinalDecision {
     at: LogTime,
     end: FlowEnd,
     vm: String,
 }
 
-/// How the flows of a span of time ended, and when what was decided.
+/// Counts how the flows of a span of time ended, and the decisions in each second.
 #[derive(Debug)]
 pub(crate) struct SpanTally {
     span: Span,
-    ends: HashMap<FlowTuple, Last>,
+    ends: HashMap<FlowTuple, FinalDecision>,
     seconds: BTreeMap<u64, Second>,
     gaps: Gaps,
 }
 
 impl SpanTally {
-    /// Creates the tally of `span`, without any line.
+    /// Creates an empty tally of `span`.
     pub(crate) fn new(span: Span) -> Self {
         Self { span, ends: HashMap::new(), seconds: BTreeMap::new(), gaps: Gaps::default() }
     }
 
-    /// Takes in a line of any process.
-    pub(crate) fn note(&mut self, line: &LogLine) {
-        self.gaps.note(line);
-        if !self.span.holds(line.at) {
+    /// Adds a log line of any process; lines outside the span count only for the remarks on gaps.
+    pub(crate) fn add_line(&mut self, line: &LogLine) {
+        self.gaps.add_line(line);
+        if !self.span.contains(line.at) {
             return;
         }
         let second = self.seconds.entry(line.at.second()).or_default();
@@ -45,29 +47,34 @@
         }
         let Some((flow, decided)) = line.flow_decision() else { return };
         second.count(decided);
-        self.note_end(flow, line, FlowEnd::of(decided, &line.cause));
+        self.update_end(flow, line, FlowEnd::of(decided, &line.cause));
     }
 
-    /// Lines come file by file: a later one may have been read before.
-    fn note_end(&mut self, flow: FlowTuple, line: &LogLine, end: FlowEnd) {
-        let stays = self.ends.get(&flow).is_some_and(|last| {
-            if last.at > line.at { !end.explains(&last.end) } else { last.end.explains(&end) }
+    /// Updates the end of a flow. Lines are read file by file, so a line that was logged later may have
+    /// been read earlier.
+    fn update_end(&mut self, flow: FlowTuple, line: &LogLine, end: FlowEnd) {
+        let keep_existing = self.ends.get(&flow).is_some_and(|last| {
+            if last.at > line.at {
+                !end.takes_precedence_over(&last.end)
+            } else {
+                last.end.takes_precedence_over(&end)
+            }
         });
-        if !stays {
-            self.ends.insert(flow, Last { at: line.at, end, vm: line.vm.clone() });
+        if !keep_existing {
+            self.ends.insert(flow, FinalDecision { at: line.at, end, vm: line.vm.clone() });
         }
     }
 
-    /// Returns what is printed.
-    pub(crate) fn report(&self, unreadable: &Unreadable) -> SpanReport {
+    /// Returns the report to print.
+    pub(crate) fn report(&self, unreadable: &UnreadableLines) -> SpanReport {
         let mut by_end = BTreeMap::new();
         let mut by_route: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
         let mut by_vm = BTreeMap::new();
-        for (flow, Last { end, vm, .. }) in &self.ends {
+        for (flow, FinalDecision { end, vm, .. }) in &self.ends {
             *by_end.entry(end.to_string()).or_default() += 1;
             let route = by_route.entry(flow.route().to_string()).or_default();
             *route.entry(end.to_string()).or_default() += 1;
-            if !matches!(end, FlowEnd::AtTarget | FlowEnd::OnItsWay) {
+            if !matches!(end, FlowEnd::AtTarget | FlowEnd::InTransit) {
                 *by_vm.entry(vm.clone()).or_default() += 1;
             }
         }
--- a/crates/dillmillctl/src/logs/log_source.rs
+++ b/crates/dillmillctl/src/logs/log_source.rs
@@ -1,3 +1,5 @@
+//! Sources of logs: folder, file or standard input.
+
 use std::convert::Infallible;
 use std::fmt;
 use std::fs::File;
@@ -8,16 +10,16 @@
 use super::LogLine;
 use crate::error::CtlError;
 
-/// Where logs are read from: a folder with all its files, one file, or standard input.
+/// Source of logs: all files of a folder, one file, or standard input.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum LogSource {
-    Input,
+    Stdin,
     Path(PathBuf),
 }
 
-/// Lines that could not be read, with the first of them.
+/// Number of lines that could not be parsed, with place and error of the first of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Unreadable {
+pub(crate) struct UnreadableLines {
     pub(crate) count: u64,
     pub(crate) first: Option<String>,
 }
@@ -26,20 +28,23 @@
     type Err = Infallible;
 
     fn from_str(text: &str) -> Result<Self, Infallible> {
-        Ok(if text == "-" { Self::Input } else { Self::Path(text.into()) })
+        Ok(if text == "-" { Self::Stdin } else { Self::Path(text.into()) })
     }
 }
 
 impl LogSource {
-    /// Gives each line to `take`, file by file.
-    pub(crate) fn read(&self, mut take: impl FnMut(LogLine)) -> Result<Unreadable, CtlError> {
-        let mut unreadable = Unreadable::default();
+    /// Calls `on_line` for each line, file by file, and returns the lines that could not be parsed.
+    pub(crate) fn read(
+        &self,
+        mut on_line: impl FnMut(LogLine),
+    ) -> Result<UnreadableLines, CtlError> {
+        let mut unreadable = UnreadableLines::default();
         match self {
-            Self::Input => unreadable.read(io::stdin().lock(), "standard input", &mut take)?,
+            Self::Stdin => unreadable.read(io::stdin().lock(), "standard input", &mut on_line)?,
             Self::Path(path) => {
                 for file in files(path)? {
                     let open = File::open(&file).map_err(|e| failed(&file, &e))?;
-                    unreadable.read(BufReader::new(open), file.display(), &mut take)?;
+                    unreadable.read(BufReader::new(open), file.display(), &mut on_line)?;
                 }
             }
         }
@@ -47,8 +52,8 @@
     }
 }
 
-impl Unreadable {
-    /// Returns a remark if there are any.
+impl UnreadableLines {
+    /// Returns a remark on the unreadable lines; empty if there are none.
     pub(crate) fn remarks(&self) -> Vec<String> {
         let remark = |first| format!("{} lines could not be read, the first: {first}", self.count);
         self.first.iter().map(remark).collect()
@@ -58,7 +63,7 @@
         &mut self,
         mut lines: impl BufRead,
         name: impl fmt::Display,
-        take: &mut impl FnMut(LogLine),
+        on_line: &mut impl FnMut(LogLine),
     ) -> Result<(), CtlError> {
         let mut bytes = Vec::new();
         for number in 1_u64.. {
@@ -72,19 +77,21 @@
                 continue;
             }
             match LogLine::parse(&text) {
-                Ok(line) => take(line),
-                Err(why) => self.note(|| format!("{name}:{number}: {why}")),
+                Ok(line) => on_line(line),
+                Err(why) => self.record(|| format!("{name}:{number}: {why}")),
             }
         }
         Ok(())
     }
 
-    fn note(&mut self, place: impl FnOnce() -> String) {
+    /// Counts an unreadable line; `place` is evaluated for the first one only.
+    fn record(&mut self, place: impl FnOnce() -> String) {
         self.count += 1;
         self.first.get_or_insert_with(place);
     }
 }
 
+/// Returns the path itself, or the files directly in it, sorted by name, if it is a folder.
 fn files(path: &Path) -> Result<Vec<PathBuf>, CtlError> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
--- a/crates/dillmillctl/src/logs/log_time.rs
+++ b/crates/dillmillctl/src/logs/log_time.rs
@@ -1,3 +1,5 @@
+//! Timestamps of log lines.
+
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
@@ -10,18 +12,18 @@
 pub(crate) struct LogTime(u64);
 
 impl LogTime {
-    /// Returns the time since `earlier`; zero if that is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is the later of the two.
     pub(crate) fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the whole seconds.
+    /// Returns the time in whole seconds, rounded down.
     pub(crate) fn second(self) -> u64 {
         self.0 / MICROS_PER_SECOND
     }
 }
 
-/// Text that is no time.
+/// The text is not a Unix time in seconds.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is no Unix time in seconds")]
 pub(crate) struct LogTimeError(String);
--- a/crates/dillmillctl/src/main.rs
+++ b/crates/dillmillctl/src/main.rs
@@ -1,8 +1,8 @@
-//! `dillmillctl`: the operator's program.
+//! `dillmillctl`, the operator's command-line program.
 //!
-//! It edits the tree of settings in the platform and shows what the processes do. It never touches
-//! a balancer or an agent: status and time line are read-only questions, and what it explains it
-//! reads from logs.
+//! It edits the settings tree stored in the platform and shows the state of the processes. It never
+//! changes a balancer or an agent: `status` and `timeline` send read-only requests, and `explain` reads
+//! log files only.
 
 mod command;
 mod config;
--- a/crates/dillmillctl/src/verbs.rs
+++ b/crates/dillmillctl/src/verbs.rs
@@ -1,4 +1,4 @@
-//! What each verb does.
+//! Execution of the verbs of the command line.
 
 mod explaining;
 mod processes;
@@ -12,7 +12,7 @@
 use crate::error::CtlError;
 use crate::output::outln;
 
-/// Carries out a command; only what needs the platform reads the settings file.
+/// Runs a command. Only verbs that need the platform or the processes read the settings file.
 pub(crate) async fn run(invocation: &Invocation) -> Result<(), CtlError> {
     let cfg = || CtlConfig::open(&invocation.config);
     let json = invocation.json;
--- a/crates/dillmillctl/src/verbs/explaining.rs
+++ b/crates/dillmillctl/src/verbs/explaining.rs
@@ -1,4 +1,4 @@
-//! `explain`: from the logs alone, without asking any process.
+//! The verb `explain`, which reads logs only and sends no requests to processes.
 
 use std::fmt;
 use std::fs;
@@ -13,11 +13,11 @@
 use crate::logs::LogSource;
 use crate::output::out;
 
-/// What is to be explained.
+/// Subject of an explanation: one flow or a span of time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Subject {
     Flow(FlowTuple),
-    /// With the file that is to hold the report as a page with plots.
+    /// A span, with the file to which the report is also written as an HTML page with plots.
     Span(Span, Option<PathBuf>),
 }
 
@@ -30,7 +30,7 @@
 
 fn explain_flow(flow: FlowTuple, logs: &LogSource, json: bool) -> Result<(), CtlError> {
     let mut path = FlowPath::new(flow);
-    let unreadable = logs.read(|line| path.note(&line))?;
+    let unreadable = logs.read(|line| path.add_line(&line))?;
     let path = path.sorted();
     if path.is_empty() {
         let remarks = unreadable.remarks().join("; ");
@@ -47,7 +47,7 @@
     json: bool,
 ) -> Result<(), CtlError> {
     let mut tally = SpanTally::new(span);
-    let unreadable = logs.read(|line| tally.note(&line))?;
+    let unreadable = logs.read(|line| tally.add_line(&line))?;
     let report = tally.report(&unreadable);
     if let Some(file) = page {
         let html = SpanPage::new(&report).html().map_err(CtlError::Input)?;
--- a/crates/dillmillctl/src/verbs/processes.rs
+++ b/crates/dillmillctl/src/verbs/processes.rs
@@ -1,4 +1,4 @@
-//! Verbs that ask the processes.
+//! The verbs `status` and `timeline`, which send requests to the processes.
 
 use std::time::{Duration, Instant};
 
@@ -14,71 +14,76 @@
 use crate::output::outln;
 use crate::verbs::print_json;
 
-const AT_ONCE: usize = 64;
-const ASK_AGAIN: Duration = Duration::from_millis(300);
+const MAX_CONCURRENT_REQUESTS: usize = 64;
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Returns the members that the first peer to answer knows.
+/// Returns the list of members from the first peer that answers.
 async fn members(cfg: &CtlConfig, key: &ClusterKey) -> Result<Vec<Member>, CtlError> {
     if cfg.peers.is_empty() {
         return Err(CtlError::Input("the settings file names no peers".to_owned()));
     }
-    let mut last = String::new();
+    let mut last_error = String::new();
     for peer in &cfg.peers {
         match client::ask(*peer, key, &StreamMessage::GetMembers).await {
             Ok(StreamMessage::Members(members)) => return Ok(members),
-            Ok(_) => last = format!("{peer}: unexpected answer"),
-            Err(e) => last = e.to_string(),
+            Ok(_) => last_error = format!("{peer}: unexpected answer"),
+            Err(e) => last_error = e.to_string(),
         }
     }
-    Err(CtlError::Unreachable(format!("no peer answers; the last: {last}")))
+    Err(CtlError::Unreachable(format!("no peer answers; the last: {last_error}")))
 }
 
-/// Asks every member that is not down; the answer is `None` where none came.
-async fn ask_all(
+/// Sends a request to every member that is not down. The response is `None` if a member did not answer.
+async fn request_all(
     members: Vec<Member>,
     key: &ClusterKey,
-    question: &StreamMessage,
+    request: &StreamMessage,
 ) -> Vec<(Member, Option<StreamMessage>)> {
     let alive = members.into_iter().filter(|m| m.status != MemberStatus::Down);
     stream::iter(alive)
         .map(|member| async move {
-            let answer = client::ask(member.control, key, question).await.ok();
+            let answer = client::ask(member.control, key, request).await.ok();
             (member, answer)
         })
-        .buffer_unordered(AT_ONCE)
+        .buffer_unordered(MAX_CONCURRENT_REQUESTS)
         .collect()
         .await
 }
 
-struct Seen {
+/// Status of all processes at one time, and the newest revision known to any of them or to the platform.
+struct FleetStatus {
     newest: Revision,
     rows: Vec<(Member, Option<ProcessStatus>)>,
 }
 
-impl Seen {
-    fn behind(&self) -> usize {
+impl FleetStatus {
+    /// Returns the number of processes that do not run with the newest revision or did not answer.
+    fn count_behind(&self) -> usize {
         let has_newest = |status: &Option<ProcessStatus>| {
             status.as_ref().map(|s| s.revision) == Some(self.newest)
         };
         self.rows.iter().filter(|(_, status)| !has_newest(status)).count()
     }
 
-    /// Returns the newest orders to evacuate data centres that a process knows.
+    /// Returns the newest evacuation orders known to any process.
     fn evacuations(&self) -> Evacuations {
         let known = self.rows.iter().filter_map(|(_, status)| status.as_ref());
         let newest = known.map(|status| &status.evacuations).max_by_key(|e| e.revision());
         newest.cloned().unwrap_or_default()
     }
 
-    /// Returns the open flows of the agents in a data centre.
+    /// Returns the number of open flows at the agents in a data centre.
     fn flows_in(&self, zone: &ZoneName) -> u64 {
-        let there = |member: &Member| member.zone == *zone && member.role != Role::Balancer;
-        let rows = self.rows.iter().filter(|(member, _)| there(member));
+        let is_agent_in_zone =
+            |member: &Member| member.zone == *zone && member.role != Role::Balancer;
+        let rows = self.rows.iter().filter(|(member, _)| is_agent_in_zone(member));
         rows.filter_map(|(_, status)| status.as_ref()).map(|status| status.flows).sum()
     }
 }
 
-async fn look(cfg: &CtlConfig, key: &ClusterKey) -> Result<Seen, CtlError> {
+/// Requests the status of all members. If the platform can't be read, the error is printed and the newest
+/// revision is the newest one that a process reports.
+async fn fetch_status(cfg: &CtlConfig, key: &ClusterKey) -> Result<FleetStatus, CtlError> {
     let accepted = match cfg.store()?.tree().await {
         Ok(tree) => tree.revision,
         Err(e) => {
@@ -86,8 +91,8 @@
             Revision(0)
         }
     };
-    let asked = ask_all(members(cfg, key).await?, key, &StreamMessage::GetStatus).await;
-    let mut rows: Vec<(Member, Option<ProcessStatus>)> = asked
+    let answers = request_all(members(cfg, key).await?, key, &StreamMessage::GetStatus).await;
+    let mut rows: Vec<(Member, Option<ProcessStatus>)> = answers
         .into_iter()
         .map(|(member, answer)| match answer {
             Some(StreamMessage::Status(status)) => (member, Some(*status)),
@@ -96,7 +101,7 @@
         .collect();
     rows.sort_by(|(a, _), (b, _)| a.vm.cmp(&b.vm));
     let known = rows.iter().filter_map(|(_, s)| s.as_ref()).map(|s| s.revision).max();
-    Ok(Seen { newest: accepted.max(known.unwrap_or_default()), rows })
+    Ok(FleetStatus { newest: accepted.max(known.unwrap_or_default()), rows })
 }
 
 pub(crate) async fn status(
@@ -106,38 +111,38 @@
 ) -> Result<(), CtlError> {
     let key = cfg.key()?;
     let started = Instant::now();
-    let mut seen = look(cfg, &key).await?;
-    while seen.behind() > 0 && wait.is_some_and(|wait| started.elapsed() < wait) {
-        compio::time::sleep(ASK_AGAIN).await;
-        seen = look(cfg, &key).await?;
+    let mut fleet = fetch_status(cfg, &key).await?;
+    while fleet.count_behind() > 0 && wait.is_some_and(|wait| started.elapsed() < wait) {
+        compio::time::sleep(POLL_INTERVAL).await;
+        fleet = fetch_status(cfg, &key).await?;
     }
-    show_status(&seen, json);
-    match seen.behind() {
+    show_status(&fleet, json);
+    match fleet.count_behind() {
         0 => Ok(()),
-        n => Err(CtlError::Behind(format!("{n} processes are not at revision {}", seen.newest))),
+        n => Err(CtlError::Behind(format!("{n} processes are not at revision {}", fleet.newest))),
     }
 }
 
-fn show_status(seen: &Seen, json: bool) {
+fn show_status(fleet: &FleetStatus, json: bool) {
     if json {
-        let processes: Vec<_> = seen
+        let processes: Vec<_> = fleet
             .rows
             .iter()
             .map(|(member, status)| json!({ "member": member, "status": status }))
             .collect();
-        let evacuations = seen.evacuations();
+        let evacuations = fleet.evacuations();
         print_json(
-            &json!({ "revision": seen.newest, "evacuations": evacuations, "processes": processes }),
+            &json!({ "revision": fleet.newest, "evacuations": evacuations, "processes": processes }),
         );
         return;
     }
-    outln!("newest revision {}", seen.newest);
-    let evacuations = seen.evacuations();
+    outln!("newest revision {}", fleet.newest);
+    let evacuations = fleet.evacuations();
     for zone in evacuations.zones() {
         let revision = evacuations.revision();
         outln!(
             "data centre {zone} gets no new flows (orders of revision {revision}); {} open there",
-            seen.flows_in(zone)
+            fleet.flows_in(zone)
         );
     }
     outln!(
@@ -148,7 +153,7 @@
         "revision",
         "flows"
     );
-    for (member, status) in &seen.rows {
+    for (member, status) in &fleet.rows {
         let role = member.role.to_string();
         match status {
             Some(s) => outln!(
@@ -170,9 +175,9 @@
     json: bool,
 ) -> Result<(), CtlError> {
     let key = cfg.key()?;
-    let asked = ask_all(members(cfg, &key).await?, &key, &StreamMessage::GetEvents).await;
+    let answers = request_all(members(cfg, &key).await?, &key, &StreamMessage::GetEvents).await;
     let mut lines: Vec<(Event, Member)> = Vec::new();
-    for (member, answer) in asked {
+    for (member, answer) in answers {
         match answer {
             Some(StreamMessage::Events { events, .. }) => {
                 lines.extend(events.into_iter().map(|event| (event, member.clone())));
--- a/crates/dillmillctl/src/verbs/settings.rs
+++ b/crates/dillmillctl/src/verbs/settings.rs
@@ -1,4 +1,4 @@
-//! Verbs that read and change the tree.
+//! Verbs that read and change the settings tree.
 
 use std::io::Read;
 use std::path::Path;
@@ -81,8 +81,8 @@
     Ok(())
 }
 
-/// Returns the revision of the node that an edit without `--seen` is made on.
-async fn present(cfg: &CtlConfig, path: &NodePath) -> Result<(Tree, Revision), CtlError> {
+/// Reads the tree and the current revision of a node, on which an edit without `--seen` is based.
+async fn read_tree(cfg: &CtlConfig, path: &NodePath) -> Result<(Tree, Revision), CtlError> {
     let tree = cfg.store()?.tree().await?;
     let revision = tree.node_revision(path);
     Ok((tree, revision))
@@ -97,7 +97,7 @@
     let text = read_file(file)?;
     let seen = match seen {
         Some(seen) => seen,
-        None => present(cfg, path).await?.1,
+        None => read_tree(cfg, path).await?.1,
     };
     write(cfg, path.clone(), Some(text), seen).await
 }
@@ -107,11 +107,11 @@
     path: &NodePath,
     seen: Option<Revision>,
 ) -> Result<(), CtlError> {
-    let (tree, present) = present(cfg, path).await?;
+    let (tree, current) = read_tree(cfg, path).await?;
     if !tree.nodes.contains_key(path) {
         return Err(CtlError::Input(format!("there is no {path}")));
     }
-    write(cfg, path.clone(), None, seen.unwrap_or(present)).await
+    write(cfg, path.clone(), None, seen.unwrap_or(current)).await
 }
 
 pub(crate) async fn edit(
@@ -120,25 +120,26 @@
     values: &[(String, String)],
     seen: Option<Revision>,
 ) -> Result<(), CtlError> {
-    let (tree, present) = present(cfg, path).await?;
+    let (tree, current) = read_tree(cfg, path).await?;
     let node =
         tree.nodes.get(path).ok_or_else(|| CtlError::Input(format!("there is no {path}")))?;
     let mut document: Value =
         serde_norway::from_str(&node.text).map_err(|e| CtlError::Input(e.to_string()))?;
     for (key, value) in values {
-        change_value(&mut document, key, value)?;
+        set_value(&mut document, key, value)?;
     }
     let text = serde_norway::to_string(&document).map_err(|e| CtlError::Input(e.to_string()))?;
-    write(cfg, path.clone(), Some(text), seen.unwrap_or(present)).await
+    write(cfg, path.clone(), Some(text), seen.unwrap_or(current)).await
 }
 
-fn change_value(document: &mut Value, key: &str, text: &str) -> Result<(), CtlError> {
-    let wrong = |what: String| CtlError::Input(format!("{key}: {what}"));
+/// Sets the value at a dotted key path of a YAML document; an empty text removes the key.
+fn set_value(document: &mut Value, key: &str, text: &str) -> Result<(), CtlError> {
+    let invalid = |what: String| CtlError::Input(format!("{key}: {what}"));
     let mut place = document;
     let mut parts = key.split('.').peekable();
     while let Some(part) = parts.next() {
         let Value::Mapping(mapping) = place else {
-            return Err(wrong(format!("there are no keys above `{part}`")));
+            return Err(invalid(format!("there are no keys above `{part}`")));
         };
         let name = Value::String(part.to_owned());
         if parts.peek().is_none() && text.is_empty() {
@@ -147,10 +148,11 @@
         }
         place = mapping.entry(name).or_insert_with(|| Value::Mapping(serde_norway::Mapping::new()));
     }
-    *place = serde_norway::from_str(text).map_err(|e| wrong(e.to_string()))?;
+    *place = serde_norway::from_str(text).map_err(|e| invalid(e.to_string()))?;
     Ok(())
 }
 
+/// Returns the tree at a revision, built from the log of changes; without a revision the newest tree.
 async fn tree_at(cfg: &CtlConfig, revision: Option<Revision>) -> Result<Tree, CtlError> {
     let store = cfg.store()?;
     let Some(revision) = revision else { return Ok(store.tree().await?) };
--- a/crates/dillmillctl/tests/command_line.rs
+++ b/crates/dillmillctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `dillmillctl`, where no platform is needed.
+//! Tests of the `dillmillctl` command line that need no running platform.
 
 use std::process::Command;
 
@@ -23,9 +23,9 @@
 #[case("timeline")]
 #[case("explain")]
 fn verbs_explained(#[case] verb: &str) {
-    let (code, said) = run(&[verb, "--help"]);
+    let (code, output_text) = run(&[verb, "--help"]);
     assert_eq!(code, 0);
-    assert!(said.starts_with(&format!("Usage: dillmillctl {verb}")), "{said}");
+    assert!(output_text.starts_with(&format!("Usage: dillmillctl {verb}")), "{output_text}");
     assert!(run(&["--help"]).1.contains(verb));
 }
 
@@ -43,9 +43,9 @@
 #[case::lost_logs(&["explain", "1..2", "--logs", "/nowhere"], "read /nowhere")]
 #[case::no_config(&["get", "--config", "/nowhere.yaml"], "read /nowhere.yaml")]
 fn wrong_lines_refused(#[case] args: &[&str], #[case] expected: &str) {
-    let (code, said) = run(args);
-    assert_eq!(code, 2, "{said}");
-    assert!(said.contains(expected), "{said}");
+    let (code, output_text) = run(args);
+    assert_eq!(code, 2, "{output_text}");
+    assert!(output_text.contains(expected), "{output_text}");
 }
 
 #[test]
@@ -53,9 +53,9 @@
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("ctl.yaml");
     std::fs::write(&file, "platform: http://127.0.0.1:1\ncluster: x\n").unwrap();
-    let (code, said) = run(&["get", "--config", &file.display().to_string()]);
+    let (code, output_text) = run(&["get", "--config", &file.display().to_string()]);
     assert_eq!(code, 2);
-    assert!(said.contains("ctl.yaml:2"), "{said}");
+    assert!(output_text.contains("ctl.yaml:2"), "{output_text}");
 }
 
 #[test]
@@ -63,15 +63,15 @@
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("ctl.yaml");
     let key = "00".repeat(32);
-    // Port 1 of loopback: nothing listens there.
+    // Nothing listens on port 1 of loopback.
     let text = format!("platform: http://127.0.0.1:1\ncluster_key: \"{key}\"\n");
     std::fs::write(&file, text).unwrap();
-    let (code, said) = run(&["get", "--config", &file.display().to_string()]);
-    assert_eq!(code, 1, "{said}");
-    assert!(said.contains("127.0.0.1:1"), "{said}");
+    let (code, output_text) = run(&["get", "--config", &file.display().to_string()]);
+    assert_eq!(code, 1, "{output_text}");
+    assert!(output_text.contains("127.0.0.1:1"), "{output_text}");
 }
 
-/// `dillmillctl … | head`: a reader that goes away early is no failure.
+/// A closed pipe on standard output, as in `dillmillctl … | head`, must not be reported as a failure.
 #[test]
 fn reader_may_leave() {
     let (reader, writer) = std::io::pipe().unwrap();
@@ -81,6 +81,6 @@
         .stdout(writer)
         .output()
         .unwrap();
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert!(output.status.success() && said.is_empty(), "{said}");
+    let output_text = String::from_utf8(output.stderr).unwrap();
+    assert!(output.status.success() && output_text.is_empty(), "{output_text}");
 }
--- a/crates/dillmillctl/tests/explain_logs.rs
+++ b/crates/dillmillctl/tests/explain_logs.rs
@@ -1,4 +1,4 @@
-//! `dillmillctl explain`: what logs tell of a flow or a span of time.
+//! Tests of `dillmillctl explain` on log files, for one flow and for a span of time.
 
 use std::fs;
 use std::process::Command;
@@ -67,18 +67,18 @@
 
 #[test]
 fn path_in_order() {
-    let (code, said) = explain(FLOW, &refused_flow(), &[]);
-    assert_eq!(code, 0, "{said}");
+    let (code, output_text) = explain(FLOW, &refused_flow(), &[]);
+    assert_eq!(code, 0, "{output_text}");
     let order = ["placed at cfd2078d42b21643 on side-1", "10 ms  side-1", "20 ms  front-1"];
-    let places: Vec<usize> = order.iter().map(|part| said.find(part).expect(part)).collect();
-    assert!(places.is_sorted(), "{said}");
+    let places: Vec<usize> = order.iter().map(|part| output_text.find(part).expect(part)).collect();
+    assert!(places.is_sorted(), "{output_text}");
 }
 
 #[test]
 fn refusal_explains_reset() {
-    let (_, said) = explain(FLOW, &refused_flow(), &[]);
-    assert!(said.contains("end: refused: Crowded, target Ready\n"), "{said}");
-    assert!(said.contains("\"1. A new flow is refused\""), "{said}");
+    let (_, output_text) = explain(FLOW, &refused_flow(), &[]);
+    assert!(output_text.contains("end: refused: Crowded, target Ready\n"), "{output_text}");
+    assert!(output_text.contains("\"1. A new flow is refused\""), "{output_text}");
 }
 
 #[test]
@@ -92,27 +92,30 @@
             line("100.2", "front-1", "flow", "12 decisions not logged", "more than the log takes"),
         ],
     )]);
-    let (code, said) = explain(FLOW, &logs, &[]);
-    assert_eq!(code, 0, "{said}");
-    assert!(said.contains("1 lines could not be read, the first:"), "{said}");
-    assert!(said.contains("front-1:3: no JSON object"), "{said}");
-    assert!(said.contains("front-1 has left out 12 decisions"), "{said}");
-    assert!(said.contains("the clock of front-1 went back"), "{said}");
-    assert!(said.contains("no start of process 00000000000000aa is logged"), "{said}");
+    let (code, output_text) = explain(FLOW, &logs, &[]);
+    assert_eq!(code, 0, "{output_text}");
+    assert!(output_text.contains("1 lines could not be read, the first:"), "{output_text}");
+    assert!(output_text.contains("front-1:3: no JSON object"), "{output_text}");
+    assert!(output_text.contains("front-1 has left out 12 decisions"), "{output_text}");
+    assert!(output_text.contains("the clock of front-1 went back"), "{output_text}");
+    assert!(
+        output_text.contains("no start of process 00000000000000aa is logged"),
+        "{output_text}"
+    );
 }
 
 #[test]
 fn unknown_flow_refused() {
-    let (code, said) = explain("10.0.0.1:1>10.0.0.2:2", &refused_flow(), &[]);
+    let (code, output_text) = explain("10.0.0.1:1>10.0.0.2:2", &refused_flow(), &[]);
     assert_eq!(code, 2);
-    assert!(said.contains("no line is about 10.0.0.1:1>10.0.0.2:2"), "{said}");
+    assert!(output_text.contains("no line is about 10.0.0.1:1>10.0.0.2:2"), "{output_text}");
 }
 
 #[test]
 fn span_counts_ends() {
-    let (code, said) = explain("100..101", &refused_flow(), &["--json"]);
-    assert_eq!(code, 0, "{said}");
-    let report: serde_json::Value = serde_json::from_str(&said).unwrap();
+    let (code, output_text) = explain("100..101", &refused_flow(), &["--json"]);
+    assert_eq!(code, 0, "{output_text}");
+    let report: serde_json::Value = serde_json::from_str(&output_text).unwrap();
     assert_eq!(report["flows"], 1);
     assert_eq!(report["by_end"]["refused: Crowded, target Ready"], 1);
     assert_eq!(report["by_route"]["198.18.0.1:8080"]["refused: Crowded, target Ready"], 1);
@@ -125,8 +128,8 @@
 fn collected_lines_read() {
     let line = on_flow("100.5", "side-1", "given to the target", "1 requests in 2 slots");
     let logs = logs(&[("all.log", &[format!("  0.5 side-1 {line}")])]);
-    let (_, said) = explain(FLOW, &logs, &[]);
-    assert!(said.contains("end: with its target (answers are not logged)"), "{said}");
+    let (_, output_text) = explain(FLOW, &logs, &[]);
+    assert!(output_text.contains("end: with its target (answers are not logged)"), "{output_text}");
 }
 
 #[test]
@@ -139,8 +142,8 @@
         ],
     )]);
     let page = logs.path().join("page.html");
-    let (code, said) = explain("100..104", &logs, &["--page", &page.display().to_string()]);
-    assert_eq!(code, 0, "{said}");
+    let (code, output_text) = explain("100..104", &logs, &["--page", &page.display().to_string()]);
+    assert_eq!(code, 0, "{output_text}");
     let html = fs::read_to_string(page).unwrap();
     assert_eq!(html.matches("<svg").count(), 3, "{html}");
     assert!(html.contains("1  &lt;script&gt;"), "{html}");
