--- a/crates/dillmill-agent/src/desk.rs
+++ b/crates/dillmill-agent/src/admission.rs
@@ -45,7 +45,7 @@
 
 /// A handle on the controller.
 #[derive(Debug, Clone)]
-pub struct Desk {
+pub struct AdmissionController {
     tx: flume::Sender<Input>,
 }
 
@@ -62,14 +62,14 @@
     }
 }
 
-impl Desk {
+impl AdmissionController {
     /// Starts the controller.
     #[must_use]
     pub fn spawn(handle: NodeHandle, service: ServiceName, metrics: AgentMetrics) -> Self {
         let (tx, rx) = flume::unbounded();
         compio::runtime::spawn(feed_views(handle.views(), tx.clone())).detach();
         compio::runtime::spawn(tick(tx.clone())).detach();
-        compio::runtime::spawn(DeskTask::new(handle, service, metrics).run(rx)).detach();
+        compio::runtime::spawn(AdmissionTask::new(handle, service, metrics).run(rx)).detach();
         Self { tx }
     }
 
@@ -153,7 +153,7 @@
     }
 }
 
-struct DeskTask {
+struct AdmissionTask {
     handle: NodeHandle,
     service: ServiceName,
     metrics: AgentMetrics,
@@ -170,7 +170,7 @@
     last_report: Option<(LoadReport, Timestamp)>,
 }
 
-impl DeskTask {
+impl AdmissionTask {
     fn new(handle: NodeHandle, service: ServiceName, metrics: AgentMetrics) -> Self {
         Self {
             handle,
--- a/crates/dillmill-agent/src/agent.rs
+++ b/crates/dillmill-agent/src/agent.rs
@@ -14,12 +14,12 @@
 use dillmill_store::RingStore;
 use error_stack::Report;
 
+use crate::admission::AdmissionController;
 use crate::chain::{Closed, closed};
 use crate::connection::Leaving;
 use crate::context::{AgentContext, Shared};
 use crate::data_task::DataTask;
-use crate::desk::Desk;
-use crate::endpoint::{self, IdSource};
+use crate::endpoint::{self, FlowIdGenerator};
 use crate::ledger::Ledger;
 use crate::metrics::AgentMetrics;
 use crate::quic_socket::QuicSocket;
@@ -80,11 +80,12 @@
         let (out_tx, out) = flume::unbounded();
         let quic = QuicSocket::new(std::net::SocketAddr::V4(config.data), out_tx);
         let own = FlowId { service: service.node.number, agent: config.data };
-        let ids = IdSource::new(own, settings.flow_keys().clone());
+        let ids = FlowIdGenerator::new(own, settings.flow_keys().clone());
         let endpoint = endpoint::open(quic.clone(), config.data, &settings, &service, &ids)?;
 
         let me = RingMember { process: node.handle.process, control: config.control };
-        let desk = Desk::spawn(node.handle.clone(), service_name.clone(), metrics.clone());
+        let admission =
+            AdmissionController::spawn(node.handle.clone(), service_name.clone(), metrics.clone());
         let window = service.operation.claim_window.duration();
         let ledger = Ledger::spawn(me, window, node.handle.clock, metrics.clone());
         let target = Target::new(agent.target)?;
@@ -92,7 +93,7 @@
             node: node.handle.clone(),
             me,
             service: service_name.clone(),
-            desk,
+            admission,
             ledger,
             target,
             metrics: metrics.clone(),
@@ -139,14 +140,14 @@
         // Others still send new work until they have heard; it is taken until then.
         compio::time::sleep(SPREAD.min(limit)).await;
         drop(self.refusing);
-        self.cx.desk.close();
+        self.cx.admission.close();
         ring_task::leave(&self.cx, &self.rings).await;
         let mut finished = false;
         while !finished && handle.clock.now().since(started) < limit {
             compio::time::sleep(STOP_POLL).await;
             // Also those that run at a sibling: their callers' flows end here.
             let open = self.cx.metrics.open_requests.get();
-            finished = self.cx.desk.busy().await == 0 && open == 0;
+            finished = self.cx.admission.busy().await == 0 && open == 0;
         }
         let handed = ring_task::hand_over(&self.cx, &self.rings).await;
         let cause = format!(
@@ -190,7 +191,7 @@
         handed: handed_tx,
         ..Inlets::closed()
     });
-    cx.desk.take_loads(loads);
+    cx.admission.take_loads(loads);
     compio::runtime::spawn(claiming::answer_all(cx.clone(), questions)).detach();
     compio::runtime::spawn(hand_over::serve_all(cx.clone(), handed)).detach();
     compio::runtime::spawn(ring_task::run(cx.clone(), rings.clone())).detach();
@@ -218,7 +219,7 @@
     cx: AgentContext,
     views: Views,
     endpoint: quinn::Endpoint,
-    ids: IdSource,
+    ids: FlowIdGenerator,
     tls: Tls,
 }
 
@@ -263,7 +264,7 @@
         failures = if reachable { 0 } else { failures.saturating_add(1) };
         let is = failures < PROBE_FAILURES;
         if was != is {
-            cx.desk.target_reachable(is);
+            cx.admission.target_reachable(is);
             let what = if is { "target reachable" } else { "target not reachable" };
             cx.node.journal.record(EventKind::Member, what, "connection attempt");
             match (is, cx.is_stopping()) {
--- a/crates/dillmill-agent/src/answer.rs
+++ b/crates/dillmill-agent/src/answer.rs
@@ -37,7 +37,7 @@
         retry_after: Duration,
     },
     /// It ran; its answer is not kept.
-    AnswerGone,
+    AnswerNotKept,
     /// The request itself is wrong.
     Refused {
         /// HTTP status.
@@ -72,7 +72,7 @@
             Self::Unknown { why, retry_after } => {
                 told(StatusCode::GATEWAY_TIMEOUT, Some("unknown"), Some(*retry_after), why)
             }
-            Self::AnswerGone => {
+            Self::AnswerNotKept => {
                 told(StatusCode::CONFLICT, Some("done"), None, "it ran; its answer is not kept")
             }
             Self::Refused { status, why } => told(*status, None, None, why),
@@ -99,14 +99,14 @@
 }
 
 /// Where an answer goes.
-pub enum Sink {
+pub enum ResponseSink {
     /// To the caller.
     Caller(Box<CallerStream>),
     /// To the agent that handed the request over.
     Agent(Box<Framed>),
 }
 
-impl Sink {
+impl ResponseSink {
     /// Starts an answer.
     ///
     /// # Errors
--- a/crates/dillmill-agent/src/chain.rs
+++ b/crates/dillmill-agent/src/chain.rs
@@ -15,11 +15,11 @@
 use futures_util::{StreamExt, pin_mut};
 use prometheus::IntGauge;
 
-use crate::answer::{Outcome, Sink};
+use crate::admission::Slot;
+use crate::answer::{Outcome, ResponseSink};
 use crate::claiming::{self, Acquired};
 use crate::context::AgentContext;
-use crate::desk::Slot;
-use crate::hand_over::{self, HandOverError};
+use crate::hand_over::{self, ForwardError};
 use crate::ledger::Entry;
 use crate::request::Request;
 use crate::target::TargetError;
@@ -32,7 +32,7 @@
 const MAX_KEYED_ANSWER: usize = 8 * 1024 * 1024;
 
 /// Runs a request and answers it.
-pub async fn run(cx: &AgentContext, req: Request, sink: &mut Sink, closed: Closed) {
+pub async fn run(cx: &AgentContext, req: Request, sink: &mut ResponseSink, closed: Closed) {
     let _open = Open::new(&cx.metrics.open_requests);
     let work = run_until_answered(cx, req, sink);
     pin_mut!(work);
@@ -42,7 +42,7 @@
     }
 }
 
-async fn run_until_answered(cx: &AgentContext, req: Request, sink: &mut Sink) {
+async fn run_until_answered(cx: &AgentContext, req: Request, sink: &mut ResponseSink) {
     cx.metrics.requests.inc();
     let outcome = if req.feed {
         stream_feed(cx, &req, sink).await
@@ -56,7 +56,7 @@
     }
 }
 
-async fn tell(cx: &AgentContext, sink: &mut Sink, outcome: &Outcome) {
+async fn tell(cx: &AgentContext, sink: &mut ResponseSink, outcome: &Outcome) {
     let refused = match outcome {
         Outcome::NotRun { why, .. } => {
             cx.metrics.not_run.inc();
@@ -67,7 +67,7 @@
             Some(("request with unknown outcome", why.clone()))
         }
         Outcome::Refused { why, .. } => Some(("request refused", why.clone())),
-        Outcome::Answer(_) | Outcome::AnswerGone => None,
+        Outcome::Answer(_) | Outcome::AnswerNotKept => None,
     };
     if let Some((what, why)) = refused {
         cx.node.journal.detail(EventKind::Request, what, why);
@@ -76,7 +76,7 @@
 }
 
 /// A long feed takes a connection and no slot; it ends with its caller or its target.
-async fn stream_feed(cx: &AgentContext, req: &Request, sink: &mut Sink) -> Option<Outcome> {
+async fn stream_feed(cx: &AgentContext, req: &Request, sink: &mut ResponseSink) -> Option<Outcome> {
     let _open = Open::new(&cx.metrics.feeds);
     match cx.target.send(req, cx.node.clock.now()).await {
         Ok(response) => {
@@ -104,7 +104,7 @@
     }
 }
 
-async fn stream(response: cyper::Response, sink: &mut Sink) -> Result<(), ()> {
+async fn stream(response: cyper::Response, sink: &mut ResponseSink) -> Result<(), ()> {
     let status = response.status().as_u16();
     let headers = crate::request::end_to_end_headers(response.headers());
     sink.head(status, headers).await.map_err(drop)?;
@@ -140,22 +140,22 @@
 }
 
 /// Runs a request without a key here, or at a sibling that is clearly better.
-async fn unkeyed(cx: &AgentContext, req: &Request, sink: &mut Sink) -> Option<Outcome> {
-    cx.desk.first_try();
+async fn unkeyed(cx: &AgentContext, req: &Request, sink: &mut ResponseSink) -> Option<Outcome> {
+    cx.admission.first_try();
     if req.hops == 0
-        && let Some(sibling) = cx.desk.place(req.operation.placement.0, false).await
+        && let Some(sibling) = cx.admission.place(req.operation.placement.0, false).await
     {
         match hand_over::relay(cx, sibling, req, sink).await {
-            Ok(()) | Err(HandOverError::BrokenAfterHead) => return None,
-            Err(HandOverError::Broken) if !req.is_idempotent() => {
-                return Some(hand_over::failed(HandOverError::Broken));
+            Ok(()) | Err(ForwardError::BrokenAfterHead) => return None,
+            Err(ForwardError::Broken) if !req.is_idempotent() => {
+                return Some(hand_over::failed(ForwardError::Broken));
             }
             // It may run again: that costs a retry.
-            Err(HandOverError::Broken) if !cx.desk.may_retry().await => {
-                return Some(hand_over::failed(HandOverError::Broken));
+            Err(ForwardError::Broken) if !cx.admission.may_retry().await => {
+                return Some(hand_over::failed(ForwardError::Broken));
             }
-            Err(HandOverError::Broken) => cx.metrics.retries.inc(),
-            Err(HandOverError::NotSent) => {}
+            Err(ForwardError::Broken) => cx.metrics.retries.inc(),
+            Err(ForwardError::NotSent) => {}
         }
     }
     match unkeyed_here(cx, req, sink).await {
@@ -169,10 +169,10 @@
 async fn unkeyed_here(
     cx: &AgentContext,
     req: &Request,
-    sink: &mut Sink,
+    sink: &mut ResponseSink,
 ) -> Result<(), (Outcome, bool)> {
     let _slot: Slot = cx
-        .desk
+        .admission
         .admit(ask_for(cx, req))
         .await
         .map_err(|(refusal, after)| (Outcome::not_run(refusal, after), true))?;
@@ -200,20 +200,20 @@
 async fn retry_elsewhere(
     cx: &AgentContext,
     req: &Request,
-    sink: &mut Sink,
+    sink: &mut ResponseSink,
     outcome: Outcome,
 ) -> Option<Outcome> {
-    if req.hops > 0 || !cx.desk.may_retry().await {
+    if req.hops > 0 || !cx.admission.may_retry().await {
         return Some(outcome);
     }
-    let Some(sibling) = cx.desk.place(Policy::PowerOfTwo, true).await else {
+    let Some(sibling) = cx.admission.place(Policy::PowerOfTwo, true).await else {
         return Some(outcome);
     };
     cx.metrics.retries.inc();
     match hand_over::relay(cx, sibling, req, sink).await {
-        Ok(()) | Err(HandOverError::BrokenAfterHead) => None,
-        Err(HandOverError::NotSent) => Some(outcome),
-        Err(HandOverError::Broken) => Some(hand_over::failed(HandOverError::Broken)),
+        Ok(()) | Err(ForwardError::BrokenAfterHead) => None,
+        Err(ForwardError::NotSent) => Some(outcome),
+        Err(ForwardError::Broken) => Some(hand_over::failed(ForwardError::Broken)),
     }
 }
 
@@ -223,11 +223,11 @@
         return Outcome::unknown("no idempotency key", RETRY_AFTER);
     };
     if req.hops == 0
-        && let Some(sibling) = cx.desk.place(req.operation.placement.0, false).await
+        && let Some(sibling) = cx.admission.place(req.operation.placement.0, false).await
     {
         match hand_over::collect(cx, sibling, &req).await {
             Ok(outcome) => return outcome,
-            Err(HandOverError::NotSent) => {}
+            Err(ForwardError::NotSent) => {}
             Err(error) => return hand_over::failed(error),
         }
     }
@@ -242,7 +242,7 @@
             let (tx, rx) = flume::bounded(1);
             let cx = cx.clone();
             compio::runtime::spawn(async move {
-                cx.desk.first_try();
+                cx.admission.first_try();
                 let outcome = first(&cx, &req, key).await;
                 // The key is free here before the request goes elsewhere: the other agent may have
                 // to pass it back, and would wait for this one for ever.
@@ -267,14 +267,14 @@
 /// Tries a request with a key that was not run here once more at a sibling.
 async fn elsewhere_if_not_run(cx: &AgentContext, req: &Request, outcome: Outcome) -> Outcome {
     let not_run = matches!(outcome, Outcome::NotRun { .. });
-    if !not_run || req.hops > 0 || !cx.desk.may_retry().await {
+    if !not_run || req.hops > 0 || !cx.admission.may_retry().await {
         return outcome;
     }
-    let Some(sibling) = cx.desk.place(Policy::PowerOfTwo, true).await else { return outcome };
+    let Some(sibling) = cx.admission.place(Policy::PowerOfTwo, true).await else { return outcome };
     cx.metrics.retries.inc();
     match hand_over::collect(cx, sibling, req).await {
         Ok(outcome) => outcome,
-        Err(HandOverError::NotSent) => outcome,
+        Err(ForwardError::NotSent) => outcome,
         Err(error) => hand_over::failed(error),
     }
 }
@@ -290,7 +290,7 @@
                 return match hand_over::collect(cx, other, req).await {
                     Ok(outcome) => outcome,
                     // Not reached is not proof here: the other one may have run an earlier try.
-                    Err(_) => hand_over::failed(HandOverError::Broken),
+                    Err(_) => hand_over::failed(ForwardError::Broken),
                 };
             }
             Acquired::Held(_) | Acquired::NotInRing(_) => {
@@ -299,7 +299,7 @@
             Acquired::NotRun(why) => return Outcome::not_run(why, RETRY_AFTER),
             Acquired::Unknown(why) => return Outcome::unknown(why, RETRY_AFTER),
         };
-        let slot = match cx.desk.admit(ask_for(cx, req)).await {
+        let slot = match cx.admission.admit(ask_for(cx, req)).await {
             Ok(slot) => slot,
             Err((refusal, after)) => {
                 claiming::release(cx, key).await;
--- a/crates/dillmill-agent/src/connection.rs
+++ b/crates/dillmill-agent/src/connection.rs
@@ -10,7 +10,7 @@
 use h3::server::RequestResolver;
 use http::{HeaderMap, StatusCode};
 
-use crate::answer::{Outcome, Sink};
+use crate::answer::{Outcome, ResponseSink};
 use crate::chain::{self, Closed, closed};
 use crate::context::AgentContext;
 use crate::request::{DEADLINE_HEADER, KEY_HEADER, Request, end_to_end_headers};
@@ -111,7 +111,7 @@
             match compio::time::timeout(limit, read_body(&mut stream, max)).await {
                 Ok(Ok(body)) => {
                     req.body = body;
-                    let mut sink = Sink::Caller(Box::new(stream));
+                    let mut sink = ResponseSink::Caller(Box::new(stream));
                     chain::run(&cx, req, &mut sink, gone).await;
                     return;
                 }
@@ -120,7 +120,7 @@
             }
         }
     };
-    let _ = Sink::Caller(Box::new(stream)).outcome(&outcome).await;
+    let _ = ResponseSink::Caller(Box::new(stream)).outcome(&outcome).await;
 }
 
 type CallerStream = h3::server::RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>;
--- a/crates/dillmill-agent/src/context.rs
+++ b/crates/dillmill-agent/src/context.rs
@@ -8,7 +8,7 @@
 use dillmill_core::scheduler::RequestId;
 use dillmill_node::{NodeHandle, View};
 
-use crate::desk::Desk;
+use crate::admission::AdmissionController;
 use crate::ledger::Ledger;
 use crate::metrics::AgentMetrics;
 use crate::target::Target;
@@ -23,7 +23,7 @@
     /// The service.
     pub service: ServiceName,
     /// Slots and siblings.
-    pub desk: Desk,
+    pub admission: AdmissionController,
     /// Claims.
     pub ledger: Ledger,
     /// The target.
--- a/crates/dillmill-agent/src/data_task.rs
+++ b/crates/dillmill-agent/src/data_task.rs
@@ -90,7 +90,7 @@
         let Some(table) = &state.table else { return };
         let Ok((frame, packet)) = Frame::decode(bytes) else { return };
         let balancer = frame.balancer.unwrap_or(from);
-        match table.judge(frame.service, frame.hops, packet, &mut state.first, now) {
+        match table.classify(frame.service, frame.hops, packet, &mut state.first, now) {
             Inbound::Deliver => {
                 self.metrics.delivered.inc();
                 state.paths.heard(frame.caller, balancer, now);
--- a/crates/dillmill-agent/src/endpoint.rs
+++ b/crates/dillmill-agent/src/endpoint.rs
@@ -23,9 +23,9 @@
 
 /// What connection ids are made from; changed when the settings do.
 #[derive(Debug, Clone)]
-pub struct IdSource(Arc<RwLock<(FlowId, FlowKeys)>>);
+pub struct FlowIdGenerator(Arc<RwLock<(FlowId, FlowKeys)>>);
 
-impl IdSource {
+impl FlowIdGenerator {
     /// Creates a source for the flows of one agent.
     #[must_use]
     pub fn new(own: FlowId, keys: FlowKeys) -> Self {
@@ -38,7 +38,7 @@
     }
 }
 
-impl ConnectionIdGenerator for IdSource {
+impl ConnectionIdGenerator for FlowIdGenerator {
     fn generate_cid(&mut self) -> ConnectionId {
         let guard = self.0.read().unwrap_or_else(PoisonError::into_inner);
         let (own, keys) = &*guard;
@@ -77,7 +77,7 @@
     data: SocketAddrV4,
     settings: &CompiledTree,
     service: &Service,
-    ids: &IdSource,
+    ids: &FlowIdGenerator,
 ) -> Result<Endpoint, NodeError> {
     let reset_key = reset_key(data, settings);
     let mut config = EndpointConfig::new(Arc::new(reset_key));
--- a/crates/dillmill-agent/src/hand_over.rs
+++ b/crates/dillmill-agent/src/hand_over.rs
@@ -9,7 +9,7 @@
 use dillmill_wire::{CachedResponse, StreamMessage};
 use http::Method;
 
-use crate::answer::{Outcome, Sink};
+use crate::answer::{Outcome, ResponseSink};
 use crate::chain;
 use crate::context::AgentContext;
 use crate::request::Request;
@@ -19,7 +19,7 @@
 
 /// Why a sibling gave no whole answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HandOverError {
+pub enum ForwardError {
     /// It was not reached: it has not run the request.
     NotSent,
     /// It may have run it; nothing was passed on to the caller yet.
@@ -32,13 +32,13 @@
     cx: &AgentContext,
     sibling: RingMember,
     req: &Request,
-) -> Result<Framed, HandOverError> {
+) -> Result<Framed, ForwardError> {
     let key = cx.node.key.clone();
     let mut framed =
-        Framed::connect(sibling.control, key).await.map_err(|_| HandOverError::NotSent)?;
+        Framed::connect(sibling.control, key).await.map_err(|_| ForwardError::NotSent)?;
     let handed = req.to_handed(sibling.process, cx.node.clock.now());
     let message = StreamMessage::Request(Box::new(handed));
-    framed.send(&message).await.map_err(|_| HandOverError::Broken)?;
+    framed.send(&message).await.map_err(|_| ForwardError::Broken)?;
     cx.metrics.handed_over.inc();
     Ok(framed)
 }
@@ -52,15 +52,15 @@
     cx: &AgentContext,
     sibling: RingMember,
     req: &Request,
-    sink: &mut Sink,
-) -> Result<(), HandOverError> {
+    sink: &mut ResponseSink,
+) -> Result<(), ForwardError> {
     let mut framed = open(cx, sibling, req).await?;
     let limit = req.deadline.since(cx.node.clock.now()) + GRACE;
     let head = compio::time::timeout(limit, framed.receive()).await;
     let Ok(Ok(StreamMessage::ResponseHead { status, headers })) = head else {
-        return Err(HandOverError::Broken);
+        return Err(ForwardError::Broken);
     };
-    let broken = |_| HandOverError::BrokenAfterHead;
+    let broken = |_| ForwardError::BrokenAfterHead;
     sink.head(status, headers).await.map_err(broken)?;
     loop {
         match framed.receive().await {
@@ -70,7 +70,7 @@
             Ok(StreamMessage::ResponseEnd) => return sink.end().await.map_err(broken),
             _ => {
                 sink.broken().await;
-                return Err(HandOverError::BrokenAfterHead);
+                return Err(ForwardError::BrokenAfterHead);
             }
         }
     }
@@ -85,14 +85,14 @@
     cx: &AgentContext,
     sibling: RingMember,
     req: &Request,
-) -> Result<Outcome, HandOverError> {
+) -> Result<Outcome, ForwardError> {
     let mut framed = open(cx, sibling, req).await?;
     let limit = req.deadline.since(cx.node.clock.now()) + GRACE;
     compio::time::timeout(limit, read_answer(&mut framed))
         .await
         .ok()
         .flatten()
-        .ok_or(HandOverError::Broken)
+        .ok_or(ForwardError::Broken)
 }
 
 async fn read_answer(framed: &mut Framed) -> Option<Outcome> {
@@ -121,7 +121,7 @@
 async fn serve(cx: AgentContext, handed: Handed) {
     let Handed { request, framed } = handed;
     let closed = framed.closed();
-    let mut sink = Sink::Agent(Box::new(framed));
+    let mut sink = ResponseSink::Agent(Box::new(framed));
     let meant = request.to == cx.me.process && request.service == cx.service;
     let view = cx.view();
     let service = view.settings.as_ref().and_then(|s| Some((s, s.service(&cx.service)?)));
@@ -152,10 +152,10 @@
 
 /// Returns the outcome told when a sibling gave no whole answer.
 #[must_use]
-pub fn failed(error: HandOverError) -> Outcome {
+pub fn failed(error: ForwardError) -> Outcome {
     match error {
-        HandOverError::NotSent => Outcome::not_run("no agent can take it", RETRY_AFTER),
-        HandOverError::Broken | HandOverError::BrokenAfterHead => {
+        ForwardError::NotSent => Outcome::not_run("no agent can take it", RETRY_AFTER),
+        ForwardError::Broken | ForwardError::BrokenAfterHead => {
             Outcome::unknown("the agent that had it does not answer", RETRY_AFTER)
         }
     }
--- a/crates/dillmill-agent/src/inbound.rs
+++ b/crates/dillmill-agent/src/inbound.rs
@@ -65,7 +65,7 @@
     /// A first packet belongs to the home of its connection id in this agent's view; it is passed
     /// there once, so that the packets of one handshake meet at one agent although balancers'
     /// views differ.
-    pub fn judge(
+    pub fn classify(
         &self,
         service: ServiceNumber,
         hops: u8,
--- a/crates/dillmill-agent/src/ledger.rs
+++ b/crates/dillmill-agent/src/ledger.rs
@@ -287,7 +287,7 @@
                 Entry::First
             }
             Some(Phase::Done) => {
-                Entry::Ended(self.kept.get(&key).cloned().unwrap_or(Outcome::AnswerGone))
+                Entry::Ended(self.kept.get(&key).cloned().unwrap_or(Outcome::AnswerNotKept))
             }
             Some(Phase::InFlight | Phase::Unknown) => {
                 Entry::Ended(Outcome::unknown("the first try broke off", RETRY_AFTER))
--- a/crates/dillmill-agent/src/return_path.rs
+++ b/crates/dillmill-agent/src/return_path.rs
@@ -8,7 +8,7 @@
 use dillmill_core::membership::RandomIndex;
 
 /// While a caller's packets came through a balancer this recently, answers go back through it.
-pub const FRESH: Duration = Duration::from_millis(300);
+pub const RETURN_PATH_LIFETIME: Duration = Duration::from_millis(300);
 const FORGET: Duration = Duration::from_mins(2);
 
 /// The balancer through which each caller was last heard.
@@ -36,7 +36,7 @@
         draw: &mut RandomIndex<'_>,
     ) -> Option<SocketAddr> {
         match self.heard.get(&caller) {
-            Some((balancer, at)) if now.since(*at) < FRESH => Some(*balancer),
+            Some((balancer, at)) if now.since(*at) < RETURN_PATH_LIFETIME => Some(*balancer),
             _ if !serving.is_empty() => Some(serving[draw(serving.len())]),
             Some((balancer, _)) => Some(*balancer),
             None => None,
--- a/crates/dillmill-agent/tests/inbound_packets.rs
+++ b/crates/dillmill-agent/tests/inbound_packets.rs
@@ -42,9 +42,9 @@
     [&[0xc0, 0, 0, 0, 1, len], id, &[0, 0, 0x40, 40], &[0; 40]].concat()
 }
 
-fn judge(table: &InboundTable, hops: u8, packet: &[u8]) -> Inbound {
+fn classify(table: &InboundTable, hops: u8, packet: &[u8]) -> Inbound {
     let mut first = FirstPackets::default();
-    table.judge(SERVICE, hops, packet, &mut first, Timestamp::from_millis(1))
+    table.classify(SERVICE, hops, packet, &mut first, Timestamp::from_millis(1))
 }
 
 /// Returns a caller's choice of connection id whose home among `serving` is `home`.
@@ -57,8 +57,8 @@
 fn own_flow_delivered() {
     let t = table(1, &[2]);
     let id = t.keys.seal(t.own, [1; 7]);
-    assert_eq!(judge(&t, 0, &short(&id)), Inbound::Deliver);
-    assert_eq!(judge(&t, 0, &initial(&id)), Inbound::Deliver);
+    assert_eq!(classify(&t, 0, &short(&id)), Inbound::Deliver);
+    assert_eq!(classify(&t, 0, &initial(&id)), Inbound::Deliver);
 }
 
 #[rstest]
@@ -67,8 +67,8 @@
 fn others_flow_dropped(#[case] flow: FlowId, #[case] expected: Inbound) {
     let t = table(1, &[1, 2]);
     let id = t.keys.seal(flow, [1; 7]);
-    assert_eq!(judge(&t, 0, &short(&id)), expected);
-    assert_eq!(judge(&t, 0, &initial(&id)), expected);
+    assert_eq!(classify(&t, 0, &short(&id)), expected);
+    assert_eq!(classify(&t, 0, &initial(&id)), expected);
 }
 
 #[test]
@@ -76,16 +76,16 @@
     let t = table(1, &[1]);
     let mut first = FirstPackets::default();
     let packet = initial(&[7; 8]);
-    let found = t.judge(ServiceNumber(9), 0, &packet, &mut first, Timestamp::from_millis(1));
+    let found = t.classify(ServiceNumber(9), 0, &packet, &mut first, Timestamp::from_millis(1));
     assert_eq!(found, Inbound::OtherService);
 }
 
 #[test]
 fn garbage_dropped() {
     let t = table(1, &[1]);
-    assert_eq!(judge(&t, 0, b""), Inbound::Foreign);
-    assert_eq!(judge(&t, 0, &[0x40; 5]), Inbound::Foreign);
-    assert_eq!(judge(&t, 0, &short(&[9; 20])), Inbound::Foreign);
+    assert_eq!(classify(&t, 0, b""), Inbound::Foreign);
+    assert_eq!(classify(&t, 0, &[0x40; 5]), Inbound::Foreign);
+    assert_eq!(classify(&t, 0, &short(&[9; 20])), Inbound::Foreign);
 }
 
 /// Balancers whose views differ send the packets of one handshake to two agents; both agents hold
@@ -95,9 +95,9 @@
     let serving = [1, 2, 3];
     let id = id_of(2, &serving);
     for own in [1, 3] {
-        assert_eq!(judge(&table(own, &serving), 0, &initial(&id)), Inbound::Pass(addr(2)));
+        assert_eq!(classify(&table(own, &serving), 0, &initial(&id)), Inbound::Pass(addr(2)));
     }
-    assert_eq!(judge(&table(2, &serving), 1, &initial(&id)), Inbound::Deliver);
+    assert_eq!(classify(&table(2, &serving), 1, &initial(&id)), Inbound::Deliver);
 }
 
 /// Agents whose views differ too don't pass a packet in circles.
@@ -105,10 +105,10 @@
 fn passing_ends() {
     let id = id_of(2, &[1, 2]);
     let packet = initial(&id);
-    assert_eq!(judge(&table(1, &[1, 2]), MAX_HOPS, &packet), Inbound::Deliver);
+    assert_eq!(classify(&table(1, &[1, 2]), MAX_HOPS, &packet), Inbound::Deliver);
     // Two agents leave at once and don't know of each other yet.
-    assert_eq!(judge(&table(1, &[2]), MAX_HOPS, &packet), Inbound::Pass(addr(2)));
-    assert_eq!(judge(&table(1, &[2]), MAX_HOPS_LEAVING, &packet), Inbound::Deliver);
+    assert_eq!(classify(&table(1, &[2]), MAX_HOPS, &packet), Inbound::Pass(addr(2)));
+    assert_eq!(classify(&table(1, &[2]), MAX_HOPS_LEAVING, &packet), Inbound::Deliver);
 }
 
 #[test]
@@ -117,9 +117,9 @@
     let mut first = FirstPackets::default();
     let now = Timestamp::from_millis(1);
     let alone = table(1, &[1]);
-    let taken = alone.judge(SERVICE, 0, &initial(&id), &mut first, now);
+    let taken = alone.classify(SERVICE, 0, &initial(&id), &mut first, now);
     assert_eq!(taken, Inbound::Deliver);
     // Agent 2 joins between two packets of the handshake.
-    let later = table(1, &[1, 2]).judge(SERVICE, 0, &initial(&id), &mut first, now);
+    let later = table(1, &[1, 2]).classify(SERVICE, 0, &initial(&id), &mut first, now);
     assert_eq!(later, Inbound::Deliver);
 }
--- a/crates/dillmill-agent/tests/return_paths.rs
+++ b/crates/dillmill-agent/tests/return_paths.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillmill_agent::ReturnPaths;
-use dillmill_agent::return_path::FRESH;
+use dillmill_agent::return_path::RETURN_PATH_LIFETIME;
 use dillmill_core::Timestamp;
 
 fn balancer(n: u8) -> SocketAddr {
@@ -27,7 +27,7 @@
     let now = Timestamp::from_millis(1000);
     let paths = heard_at(now);
     let serving = [balancer(2), balancer(3)];
-    let chosen = paths.choose(caller(), &serving, now + FRESH / 2, &mut |_| 0);
+    let chosen = paths.choose(caller(), &serving, now + RETURN_PATH_LIFETIME / 2, &mut |_| 0);
     assert_eq!(chosen, Some(balancer(1)));
 }
 
@@ -37,8 +37,9 @@
     let now = Timestamp::from_millis(1000);
     let paths = heard_at(now);
     let serving = [balancer(2), balancer(3)];
-    let chosen: BTreeSet<_> =
-        (0..2).filter_map(|i| paths.choose(caller(), &serving, now + FRESH, &mut |_| i)).collect();
+    let chosen: BTreeSet<_> = (0..2)
+        .filter_map(|i| paths.choose(caller(), &serving, now + RETURN_PATH_LIFETIME, &mut |_| i))
+        .collect();
     assert_eq!(chosen, BTreeSet::from(serving));
 }
 
