--- a/crates/dillmill-standins/src/caller.rs
+++ b/crates/dillmill-standins/src/caller.rs
@@ -17,7 +17,7 @@
 use crate::StandinError;
 
 const SERVER_NAME: &str = "localhost";
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 type SendRequest = h3::client::SendRequest<compio::quic::h3::OpenStreams, Bytes>;
 type RequestStream = h3::client::RequestStream<compio::quic::h3::BidiStream<Bytes>, Bytes>;
@@ -27,7 +27,7 @@
 pub enum CallError {
     /// The flow takes no more requests and did not take this one: ask on a new flow (RFC 9114
     /// section 5.2).
-    Moved,
+    NotProcessed,
     /// The flow or the answer broke off.
     Broken(StandinError),
 }
@@ -35,7 +35,7 @@
 impl From<CallError> for StandinError {
     fn from(e: CallError) -> Self {
         match e {
-            CallError::Moved => Self::new("call", "the flow takes no more requests"),
+            CallError::NotProcessed => Self::new("call", "the flow takes no more requests"),
             CallError::Broken(e) => e,
         }
     }
@@ -43,9 +43,9 @@
 
 fn call_error(step: &'static str) -> impl FnOnce(StreamError) -> CallError {
     move |e| match e {
-        StreamError::RemoteClosing => CallError::Moved,
+        StreamError::RemoteClosing => CallError::NotProcessed,
         StreamError::RemoteTerminate { code } if code == Code::H3_REQUEST_REJECTED => {
-            CallError::Moved
+            CallError::NotProcessed
         }
         other => CallError::Broken(StandinError::new(step, other)),
     }
@@ -125,7 +125,7 @@
 /// An open long feed.
 pub struct Feed {
     stream: RequestStream,
-    rest: String,
+    unread: String,
 }
 
 impl Caller {
@@ -219,7 +219,7 @@
         if head.status().as_u16() != 200 {
             return Err(StandinError::new("receive feed", head.status()));
         }
-        Ok(Feed { stream, rest: String::new() })
+        Ok(Feed { stream, unread: String::new() })
     }
 }
 
@@ -231,16 +231,16 @@
     /// Fails when the feed breaks off.
     pub async fn next(&mut self) -> Result<Option<String>, StandinError> {
         loop {
-            if let Some(end) = self.rest.find('\n') {
-                let line = self.rest[..end].to_owned();
-                self.rest.drain(..=end);
+            if let Some(end) = self.unread.find('\n') {
+                let line = self.unread[..end].to_owned();
+                self.unread.drain(..=end);
                 return Ok(Some(line));
             }
             let part = self.stream.recv_data().await.map_err(StandinError::at("receive feed"))?;
             match part {
                 Some(mut part) => {
                     let bytes = part.copy_to_bytes(part.remaining());
-                    self.rest.push_str(&String::from_utf8_lossy(&bytes));
+                    self.unread.push_str(&String::from_utf8_lossy(&bytes));
                 }
                 None => return Ok(None),
             }
@@ -263,7 +263,7 @@
     let crypto = QuicClientConfig::try_from(tls).map_err(StandinError::at("configure QUIC"))?;
     let mut config = ClientConfig::new(Arc::new(crypto));
     let mut transport = TransportConfig::default();
-    let idle = IDLE.try_into().map_err(StandinError::at("configure QUIC"))?;
+    let idle = IDLE_TIMEOUT.try_into().map_err(StandinError::at("configure QUIC"))?;
     transport.max_idle_timeout(Some(idle));
     config.transport_config(Arc::new(transport));
     Ok(config)
--- a/crates/dillmill-standins/src/cluster.rs
+++ b/crates/dillmill-standins/src/cluster.rs
@@ -15,7 +15,7 @@
 
 mod ctl_output;
 mod launching;
-mod questions;
+mod queries;
 mod readiness;
 mod rules;
 mod settings_files;
@@ -29,9 +29,9 @@
 /// Secret of the first flow key on loopback.
 pub const FLOW_KEY: &str = "2b7e151628aed2a6abf7158809cf4f3c";
 /// With this variable set, processes log on `debug` and their logs are kept.
-const KEEP_LOGS: &str = "DILLMILL_KEEP_LOGS";
-const READY_LIMIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(25);
+const KEEP_LOGS_VARIABLE: &str = "DILLMILL_KEEP_LOGS";
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 #[derive(Debug, Clone)]
 struct Service {
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Launch {
+struct LaunchCommand {
     program: PathBuf,
     args: Vec<String>,
     admin: Option<SocketAddr>,
@@ -58,7 +58,7 @@
     platform: SocketAddr,
     fabric: SocketAddr,
     services: Vec<Service>,
-    launches: BTreeMap<String, Launch>,
+    launches: BTreeMap<String, LaunchCommand>,
     processes: BTreeMap<String, Process>,
     targets: HashMap<String, SocketAddr>,
     bind_ips: BTreeMap<String, Ipv4Addr>,
@@ -67,7 +67,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        if std::env::var_os(KEEP_LOGS).is_some() {
+        if std::env::var_os(KEEP_LOGS_VARIABLE).is_some() {
             self.dir.disable_cleanup(true);
             eprintln!("logs are in {}", self.dir.path().display());
         }
@@ -81,7 +81,7 @@
     ///
     /// Fails when a process can't be started or is not ready within 30 s.
     pub async fn start(spec: ClusterSpec) -> Result<Self, StandinError> {
-        let mut cluster = Self::start_surroundings(spec)?;
+        let mut cluster = Self::start_platform_and_fabric(spec)?;
         cluster.wait_platform().await?;
         cluster.write_settings()?;
         for i in 1..=cluster.spec.balancers {
@@ -89,7 +89,7 @@
         }
         for service in cluster.spec.services.clone() {
             for i in 1..=service.targets {
-                cluster.start_pair(&service, i)?;
+                cluster.start_target_with_agent(&service, i)?;
             }
         }
         cluster.wait_ready().await?;
@@ -98,7 +98,7 @@
     }
 
     /// Starts the platform and the fabric.
-    fn start_surroundings(spec: ClusterSpec) -> Result<Self, StandinError> {
+    fn start_platform_and_fabric(spec: ClusterSpec) -> Result<Self, StandinError> {
         let dir = tempfile::tempdir().map_err(StandinError::at("make a folder"))?;
         let mut subnet = Subnet::take();
         let ip = subnet.ip(1);
@@ -141,10 +141,10 @@
         loop {
             match self.platform_counts().await {
                 Ok(_) => return Ok(()),
-                Err(e) if started.elapsed() > READY_LIMIT => {
+                Err(e) if started.elapsed() > READY_TIMEOUT => {
                     return Err(StandinError::new(e.to_string(), self.log("platform")));
                 }
-                Err(_) => compio::time::sleep(POLL).await,
+                Err(_) => compio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -161,7 +161,7 @@
     }
 
     /// Forgets a process that has ended, so that nothing waits for it.
-    pub fn forget(&mut self, name: &str) {
+    pub fn remove_process(&mut self, name: &str) {
         self.processes.remove(name);
         self.launches.remove(name);
         self.bind_ips.remove(name);
--- a/crates/dillmill-standins/src/cluster/launching.rs
+++ b/crates/dillmill-standins/src/cluster/launching.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use super::{CLUSTER_KEY, Cluster, KEEP_LOGS, Launch, ServiceSpec};
+use super::{CLUSTER_KEY, Cluster, KEEP_LOGS_VARIABLE, LaunchCommand, ServiceSpec};
 use crate::StandinError;
 use crate::process::{Process, program};
 
@@ -16,10 +16,10 @@
         let mut all = vec![kind.to_owned()];
         all.extend(args);
         let program = program("dillmill-standins")?;
-        self.launch(name, Launch { program, args: all, admin: None, control: None })
+        self.launch(name, LaunchCommand { program, args: all, admin: None, control: None })
     }
 
-    fn launch(&mut self, name: &str, launch: Launch) -> Result<(), StandinError> {
+    fn launch(&mut self, name: &str, launch: LaunchCommand) -> Result<(), StandinError> {
         let process = Process::spawn(name, &launch.program, &launch.args, self.dir.path())?;
         self.launches.insert(name.to_owned(), launch);
         self.processes.insert(name.to_owned(), process);
@@ -53,14 +53,14 @@
              watchers: {}\n{section}",
             self.platform,
             self.peers().join(", "),
-            if std::env::var_os(KEEP_LOGS).is_some() { "debug" } else { &self.spec.log },
+            if std::env::var_os(KEEP_LOGS_VARIABLE).is_some() { "debug" } else { &self.spec.log },
             self.spec.watchers,
         );
         let file = self.dir.path().join(format!("{name}.yaml"));
         std::fs::write(&file, text).map_err(StandinError::at("write settings"))?;
         let args = vec![role.to_owned(), "--config".to_owned(), file.display().to_string()];
         let program = program("dillmill")?;
-        let launch = Launch { program, args, admin: Some(admin), control: Some(control) };
+        let launch = LaunchCommand { program, args, admin: Some(admin), control: Some(control) };
         self.launch(name, launch)?;
         self.write_ctl_config(&self.peers())
     }
@@ -81,7 +81,11 @@
     /// # Errors
     ///
     /// Fails when one can't be started.
-    pub fn start_pair(&mut self, service: &ServiceSpec, i: usize) -> Result<(), StandinError> {
+    pub fn start_target_with_agent(
+        &mut self,
+        service: &ServiceSpec,
+        i: usize,
+    ) -> Result<(), StandinError> {
         let name = format!("{}-t{i}", service.name);
         let ip = self.next_ip();
         let target = self.subnet.port(ip);
--- a/crates/dillmill-standins/src/cluster/readiness.rs
+++ b/crates/dillmill-standins/src/cluster/readiness.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 use std::time::Instant;
 
-use super::{Cluster, POLL, READY_LIMIT};
+use super::{Cluster, POLL_INTERVAL, READY_TIMEOUT};
 use crate::StandinError;
 
 impl Cluster {
@@ -15,15 +15,15 @@
     pub async fn wait_ready(&self) -> Result<(), StandinError> {
         let started = Instant::now();
         loop {
-            let lacking = self.not_ready().await;
-            if lacking.is_empty() {
+            let problems = self.not_ready().await;
+            if problems.is_empty() {
                 return Ok(());
             }
-            if started.elapsed() > READY_LIMIT {
-                let what = format!("{}\n{}", lacking.join("; "), self.last_logs());
+            if started.elapsed() > READY_TIMEOUT {
+                let what = format!("{}\n{}", problems.join("; "), self.last_logs());
                 return Err(StandinError::new("wait", what));
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -37,12 +37,12 @@
         let started = Instant::now();
         for service in self.spec.services.iter().filter(|service| service.targets > 1) {
             while !self.ring_formed(&service.name).await? {
-                if started.elapsed() > READY_LIMIT {
+                if started.elapsed() > READY_TIMEOUT {
                     let name = &service.name;
                     let what = format!("the ring of {name} does not form\n{}", self.last_logs());
                     return Err(StandinError::new("wait", what));
                 }
-                compio::time::sleep(POLL).await;
+                compio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -68,22 +68,22 @@
     async fn not_ready(&self) -> Vec<String> {
         let members = self.members();
         let all = u64::try_from(members.len()).unwrap_or(u64::MAX);
-        let mut lacking = Vec::new();
+        let mut problems = Vec::new();
         let mut revisions = Vec::new();
         for name in members {
             match self.status(&name).await {
                 Ok(status) if status.serving != all => {
-                    lacking.push(format!("{name} knows {} of {all} serving", status.serving));
+                    problems.push(format!("{name} knows {} of {all} serving", status.serving));
                 }
                 Ok(status) => revisions.push(status.revision),
-                Err(e) => lacking.push(e.to_string()),
+                Err(e) => problems.push(e.to_string()),
             }
         }
         revisions.dedup();
         if revisions.len() > 1 {
-            lacking.push(format!("revisions differ: {revisions:?}"));
+            problems.push(format!("revisions differ: {revisions:?}"));
         }
-        lacking
+        problems
     }
 }
 
--- a/crates/dillmill-standins/src/command.rs
+++ b/crates/dillmill-standins/src/command.rs
@@ -159,6 +159,6 @@
         seed: number(matches, "seed", 1)?,
         kill_balancer: matches.opt_present("kill-balancer"),
         stop_agent: matches.opt_present("stop-agent"),
-        straight: matches.opt_present("straight"),
+        direct: matches.opt_present("straight"),
     })
 }
--- a/crates/dillmill-standins/src/fabric.rs
+++ b/crates/dillmill-standins/src/fabric.rs
@@ -52,15 +52,15 @@
 }
 
 /// How many copies of a packet are sent and how long each is held back.
-fn copies(fabric: &mut Fabric) -> Vec<Duration> {
+fn copy_delays(fabric: &mut Fabric) -> Vec<Duration> {
     let Fabric { rules, rng, .. } = fabric;
     let mut happens = |permille: u32| permille > 0 && rng.random_range(0..1000) < permille;
     if happens(rules.lose_permille) {
         return Vec::new();
     }
     let n = if happens(rules.double_permille) { 2 } else { 1 };
-    let crossed = if happens(rules.cross_permille) { 15 } else { 0 };
-    vec![Duration::from_millis(rules.delay_ms + crossed); n]
+    let reorder_delay_ms = if happens(rules.cross_permille) { 15 } else { 0 };
+    vec![Duration::from_millis(rules.delay_ms + reorder_delay_ms); n]
 }
 
 /// Serves the given service addresses, and its rules over HTTP on `control`, until the process ends.
@@ -81,13 +81,13 @@
     for service in services {
         let socket =
             UdpSocket::bind(service).await.map_err(StandinError::at(format!("bind {service}")))?;
-        compio::runtime::spawn(from_callers(service, socket, fabric.clone())).detach();
+        compio::runtime::spawn(forward_from_callers(service, socket, fabric.clone())).detach();
     }
     let router = Router::new()
         .route("/standin/rules", get(rules).put(set_rules))
         .route("/standin/packets", get(packets))
         .with_state(fabric);
-    serve::forever(control, router).await
+    serve::serve_until_exit(control, router).await
 }
 
 async fn rules(State(fabric): State<Shared>) -> Json<FabricRules> {
@@ -102,7 +102,7 @@
     Json(lock(&fabric).packets.clone())
 }
 
-async fn from_callers(service: SocketAddr, socket: UdpSocket, fabric: Shared) {
+async fn forward_from_callers(service: SocketAddr, socket: UdpSocket, fabric: Shared) {
     let mut callers: HashMap<SocketAddr, UdpSocket> = HashMap::new();
     let mut buf = Vec::with_capacity(MAX_DATAGRAM);
     loop {
@@ -110,14 +110,19 @@
         let BufResult(outcome, filled) = socket.recv_from(buf).await;
         buf = filled;
         let Ok((n, caller)) = outcome else { continue };
-        let own = match callers.entry(caller) {
+        let caller_socket = match callers.entry(caller) {
             Entry::Occupied(known) => known.into_mut(),
             Entry::Vacant(new) => {
                 let local = SocketAddr::new(service.ip(), 0);
-                let Ok(own) = UdpSocket::bind(local).await else { continue };
-                let back = to_caller(caller, own.clone(), socket.clone(), fabric.clone());
+                let Ok(caller_socket) = UdpSocket::bind(local).await else { continue };
+                let back = forward_to_caller(
+                    caller,
+                    caller_socket.clone(),
+                    socket.clone(),
+                    fabric.clone(),
+                );
                 compio::runtime::spawn(back).detach();
-                new.insert(own)
+                new.insert(caller_socket)
             }
         };
         let sends: Vec<(Duration, SocketAddr)> = {
@@ -126,43 +131,48 @@
             if balancers.is_empty() {
                 continue;
             }
-            let holds = copies(&mut fabric);
-            let mut sends = Vec::with_capacity(holds.len());
-            for hold in holds {
+            let delays = copy_delays(&mut fabric);
+            let mut sends = Vec::with_capacity(delays.len());
+            for delay in delays {
                 let balancer = balancers[fabric.rng.random_range(0..balancers.len())];
                 *fabric.packets.entry(balancer).or_default() += 1;
-                sends.push((hold, balancer));
+                sends.push((delay, balancer));
             }
             sends
         };
-        for (hold, to) in sends {
-            send_held(own, buf[..n].to_vec(), to, hold).await;
+        for (delay, to) in sends {
+            send_after(caller_socket, buf[..n].to_vec(), to, delay).await;
         }
     }
 }
 
-async fn to_caller(caller: SocketAddr, own: UdpSocket, service: UdpSocket, fabric: Shared) {
+async fn forward_to_caller(
+    caller: SocketAddr,
+    caller_socket: UdpSocket,
+    service: UdpSocket,
+    fabric: Shared,
+) {
     let mut buf = Vec::with_capacity(MAX_DATAGRAM);
     loop {
         buf.clear();
-        let BufResult(outcome, filled) = own.recv_from(buf).await;
+        let BufResult(outcome, filled) = caller_socket.recv_from(buf).await;
         buf = filled;
         let Ok((n, _)) = outcome else { continue };
-        let holds = copies(&mut lock(&fabric));
-        for hold in holds {
-            send_held(&service, buf[..n].to_vec(), caller, hold).await;
+        let delays = copy_delays(&mut lock(&fabric));
+        for delay in delays {
+            send_after(&service, buf[..n].to_vec(), caller, delay).await;
         }
     }
 }
 
-async fn send_held(socket: &UdpSocket, packet: Vec<u8>, to: SocketAddr, hold: Duration) {
-    if hold.is_zero() {
+async fn send_after(socket: &UdpSocket, packet: Vec<u8>, to: SocketAddr, delay: Duration) {
+    if delay.is_zero() {
         let _ = socket.send_to(packet, to).await;
         return;
     }
     let socket = socket.clone();
     compio::runtime::spawn(async move {
-        compio::time::sleep(hold).await;
+        compio::time::sleep(delay).await;
         let _ = socket.send_to(packet, to).await;
     })
     .detach();
--- a/crates/dillmill-standins/src/forwarder.rs
+++ b/crates/dillmill-standins/src/forwarder.rs
@@ -18,15 +18,15 @@
     let bind = async |addr: SocketAddr| {
         UdpSocket::bind(addr).await.map_err(StandinError::at(format!("bind {addr}")))
     };
-    let inside = bind(listen).await?;
-    let outside = bind(SocketAddr::new(listen.ip(), 0)).await?;
+    let receiver = bind(listen).await?;
+    let sender = bind(SocketAddr::new(listen.ip(), 0)).await?;
     let mut buf = Vec::with_capacity(MAX_DATAGRAM);
     loop {
         buf.clear();
-        let BufResult(outcome, filled) = inside.recv_from(buf).await;
+        let BufResult(outcome, filled) = receiver.recv_from(buf).await;
         buf = filled;
         if outcome.is_ok() {
-            let BufResult(_, sent) = outside.send_to(buf, to).await;
+            let BufResult(_, sent) = sender.send_to(buf, to).await;
             buf = sent;
         }
     }
--- a/crates/dillmill-standins/src/idle.rs
+++ b/crates/dillmill-standins/src/idle.rs
@@ -7,8 +7,8 @@
 use crate::usage::Usage;
 use crate::{Cluster, ClusterSpec, ServiceSpec, StandinError};
 
-const SETTLE: Duration = Duration::from_secs(25);
-const SPAN: Duration = Duration::from_secs(20);
+const SETTLE_TIME: Duration = Duration::from_secs(25);
+const MEASURE_TIME: Duration = Duration::from_secs(20);
 
 /// Measures a cluster of `balancers` and `targets` and prints one JSON line.
 ///
@@ -24,18 +24,18 @@
         ..ClusterSpec::default()
     };
     let mut cluster = Box::pin(Cluster::start(spec)).await?;
-    compio::time::sleep(SETTLE).await;
-    let before = totals(&mut cluster).await?;
-    let calls = cluster.platform_counts().await?;
+    compio::time::sleep(SETTLE_TIME).await;
+    let before = process_usages(&mut cluster).await?;
+    let platform_before = cluster.platform_counts().await?;
     for n in 0..changes {
         cluster.ctl(&["edit", "groups/tellers", &format!("limits.weight={}", 20 + n % 50)])?;
     }
-    compio::time::sleep(SPAN).await;
-    let after = totals(&mut cluster).await?;
-    let later = cluster.platform_counts().await?;
-    let seconds = SPAN.as_secs_f64();
-    let mean = |role: &str, value: fn(&Total) -> u64| {
-        let of_role = |all: &[Total]| -> u64 {
+    compio::time::sleep(MEASURE_TIME).await;
+    let after = process_usages(&mut cluster).await?;
+    let platform_after = cluster.platform_counts().await?;
+    let seconds = MEASURE_TIME.as_secs_f64();
+    let mean = |role: &str, value: fn(&ProcessUsage) -> u64| {
+        let of_role = |all: &[ProcessUsage]| -> u64 {
             all.iter().filter(|t| t.is_balancer == (role == "balancer")).map(value).sum()
         };
         let count = after.iter().filter(|t| t.is_balancer == (role == "balancer")).count();
@@ -55,35 +55,35 @@
         "agent_core": mean("agent", |t| t.cpu_ms) / 1000.0,
         "balancer_memory": memory("balancer"),
         "agent_memory": memory("agent"),
-        "platform_reads_per_second": (later.reads - calls.reads) as f64 / seconds,
-        "platform_writes_per_second": (later.writes - calls.writes) as f64 / seconds,
-        "platform_watches": later.watches,
+        "platform_reads_per_second": (platform_after.reads - platform_before.reads) as f64 / seconds,
+        "platform_writes_per_second": (platform_after.writes - platform_before.writes) as f64 / seconds,
+        "platform_watches": platform_after.watches,
     });
     println!("{result}");
     Ok(())
 }
 
-struct Total {
+struct ProcessUsage {
     is_balancer: bool,
     bytes: u64,
     cpu_ms: u64,
     memory: u64,
 }
 
-async fn totals(cluster: &mut Cluster) -> Result<Vec<Total>, StandinError> {
-    let mut totals = Vec::new();
+async fn process_usages(cluster: &mut Cluster) -> Result<Vec<ProcessUsage>, StandinError> {
+    let mut process_usages = Vec::new();
     for name in cluster.members() {
         let sent = cluster.metric(&name, "dillmill_control_sent_bytes").await?;
         let received = cluster.metric(&name, "dillmill_control_received_bytes").await?;
         let usage = Usage::of(cluster.process(&name)?.id());
-        totals.push(Total {
+        process_usages.push(ProcessUsage {
             is_balancer: name.starts_with('b'),
             bytes: u64::try_from(sent + received).unwrap_or(0),
             cpu_ms: usage.cpu_ms,
             memory: usage.memory,
         });
     }
-    Ok(totals)
+    Ok(process_usages)
 }
 
 /// Measures what open flows cost an agent and a balancer, and prints one JSON line.
@@ -100,26 +100,26 @@
         ..ClusterSpec::default()
     };
     let mut cluster = Box::pin(Cluster::start(spec)).await?;
-    let before = totals(&mut cluster).await?;
+    let before = process_usages(&mut cluster).await?;
     let mut open = Vec::with_capacity(flows);
     for _ in 0..flows {
         open.push(cluster.caller("cotiza").await?);
     }
     compio::time::sleep(Duration::from_secs(2)).await;
-    let opened = totals(&mut cluster).await?;
-    compio::time::sleep(SPAN).await;
-    let idle = totals(&mut cluster).await?;
-    let of = |all: &[Total], balancer: bool, value: fn(&Total) -> u64| {
+    let opened = process_usages(&mut cluster).await?;
+    compio::time::sleep(MEASURE_TIME).await;
+    let idle = process_usages(&mut cluster).await?;
+    let of = |all: &[ProcessUsage], balancer: bool, value: fn(&ProcessUsage) -> u64| {
         all.iter().filter(|t| t.is_balancer == balancer).map(value).sum::<u64>()
     };
     let per_flow = |balancer: bool| {
-        let grown =
+        let growth =
             of(&opened, balancer, |t| t.memory).saturating_sub(of(&before, balancer, |t| t.memory));
-        grown as f64 / flows as f64
+        growth as f64 / flows as f64
     };
     let core = |balancer: bool| {
         let used = of(&idle, balancer, |t| t.cpu_ms) - of(&opened, balancer, |t| t.cpu_ms);
-        used as f64 / 1000.0 / SPAN.as_secs_f64()
+        used as f64 / 1000.0 / MEASURE_TIME.as_secs_f64()
     };
     let handshake = |balancer: bool| {
         let used = of(&opened, balancer, |t| t.cpu_ms) - of(&before, balancer, |t| t.cpu_ms);
--- a/crates/dillmill-standins/src/load.rs
+++ b/crates/dillmill-standins/src/load.rs
@@ -1,29 +1,29 @@
 //! Open-loop load on the users' deployments, with one JSON result a run.
 
+mod direct;
+mod generator;
 mod load_result;
 mod load_spec;
-mod measured;
-mod source;
-mod straight;
+mod measurements;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use direct::DirectCaller;
+use generator::LoadGenerator;
 pub use load_result::{GroupResult, LoadResult, ProcessResult};
 pub use load_spec::LoadSpec;
-use measured::MeasuredGroups;
-use source::Source;
-use straight::Straight;
+use measurements::MeasurementsByGroup;
 
 use crate::traffic::{FeedLog, feed};
 use crate::usage::Usage;
 use crate::{Cluster, ClusterSpec, ServiceSpec, StandinError};
 
 /// Delay of each packet at the fabric, each way.
-const DELAY: Duration = Duration::from_millis(1);
-const SAMPLE: Duration = Duration::from_millis(50);
+const FABRIC_DELAY: Duration = Duration::from_millis(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 const MEAN_SERVICE_MS: f64 = 20.0;
 
 fn cluster_spec(spec: &LoadSpec) -> Result<(ClusterSpec, usize), StandinError> {
@@ -59,21 +59,21 @@
     let groups: Vec<String> = cluster_spec.groups.iter().map(|(g, _)| g.clone()).collect();
     let mut cluster = Box::pin(Cluster::start(cluster_spec)).await?;
     cluster
-        .fabric_rules(|rules| rules.delay_ms = DELAY.as_millis().try_into().unwrap_or(1))
+        .fabric_rules(|rules| rules.delay_ms = FABRIC_DELAY.as_millis().try_into().unwrap_or(1))
         .await?;
     let feeds = open_feeds(&cluster, &service, spec.feeds).await?;
-    let measured = MeasuredGroups::default();
+    let measurements = MeasurementsByGroup::default();
     #[expect(clippy::cast_precision_loss, reason = "a few slots")]
     let rate = spec.load * (targets * slots) as f64 / (MEAN_SERVICE_MS / 1000.0);
     let before = usages(&mut cluster);
     let started = Instant::now();
     let span = Duration::from_secs(spec.seconds);
     let address = cluster.service_address(&service)?;
-    let straight = if spec.straight { Some(Straight::new(&cluster, &service)?) } else { None };
-    let mut sources = Vec::new();
+    let direct = if spec.direct { Some(DirectCaller::new(&cluster, &service)?) } else { None };
+    let mut generators = Vec::new();
     for (i, group) in (0_u64..).zip(&groups) {
         let share = if i == 0 { spec.flood } else { (1.0 - spec.flood) / 2.0 };
-        let source = Source {
+        let generator = LoadGenerator {
             service: service.clone(),
             group: group.clone(),
             address,
@@ -81,15 +81,15 @@
             rate: rate * share,
             seed: spec.seed * 1000 + i,
             span,
-            measured: measured.clone(),
-            straight: straight.clone(),
+            measurements: measurements.clone(),
+            direct: direct.clone(),
         };
-        sources.push(compio::runtime::spawn(source.run()));
+        generators.push(compio::runtime::spawn(generator.run()));
     }
     let (imbalance, utilisation) =
         sample(&mut cluster, &service, &spec, slots, started, span).await?;
-    for source in sources {
-        let _ = source.await;
+    for generator in generators {
+        let _ = generator.await;
     }
     let after = usages(&mut cluster);
     let elapsed = started.elapsed();
@@ -105,8 +105,8 @@
         processes: process_results(&cluster, &before, &after, elapsed).await,
         spec,
     };
-    take_counts(&cluster, &service, &mut result).await?;
-    let asked = measured.write_to(&mut result);
+    add_target_counts(&cluster, &service, &mut result).await?;
+    let asked = measurements.write_to(&mut result);
     let handed = handed_over(&cluster).await;
     #[expect(clippy::cast_precision_loss, reason = "counts far below 2^52")]
     {
@@ -160,7 +160,7 @@
     results
 }
 
-async fn take_counts(
+async fn add_target_counts(
     cluster: &Cluster,
     service: &str,
     result: &mut LoadResult,
@@ -206,7 +206,7 @@
     while started.elapsed() < span {
         if faults_due && started.elapsed() > span / 2 {
             faults_due = false;
-            make_faults(cluster, service, spec)?;
+            inject_faults(cluster, service, spec)?;
         }
         let mut in_use = Vec::new();
         for name in &names {
@@ -219,13 +219,17 @@
             ratios.push(most / mean);
         }
         uses.push(mean / slots as f64);
-        compio::time::sleep(SAMPLE).await;
+        compio::time::sleep(SAMPLE_INTERVAL).await;
     }
     let average = |all: &[f64]| all.iter().sum::<f64>() / all.len().max(1) as f64;
     Ok((average(&ratios), average(&uses)))
 }
 
-fn make_faults(cluster: &mut Cluster, service: &str, spec: &LoadSpec) -> Result<(), StandinError> {
+fn inject_faults(
+    cluster: &mut Cluster,
+    service: &str,
+    spec: &LoadSpec,
+) -> Result<(), StandinError> {
     if spec.kill_balancer {
         cluster.process("b1")?.kill();
     }
--- a/crates/dillmill-standins/src/load/straight.rs
+++ b/crates/dillmill-standins/src/load/direct.rs
@@ -2,20 +2,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use super::DELAY;
+use super::FABRIC_DELAY;
 use crate::caller::Call;
-use crate::traffic::Verdict;
+use crate::traffic::RequestOutcome;
 use crate::{Cluster, StandinError};
 
 /// Callers that ask the targets themselves.
 #[derive(Debug, Clone)]
-pub(super) struct Straight {
+pub(super) struct DirectCaller {
     client: cyper::Client,
     targets: Vec<SocketAddr>,
     next: Rc<Cell<usize>>,
 }
 
-impl Straight {
+impl DirectCaller {
     /// Creates callers of the targets of `service`.
     pub(super) fn new(cluster: &Cluster, service: &str) -> Result<Self, StandinError> {
         let names = cluster.target_names().into_iter().filter(|t| t.starts_with(service));
@@ -25,10 +25,10 @@
     }
 
     /// Asks the next target, with the delay that the fabric has in other runs.
-    pub(super) async fn ask(&self, call: &Call) -> Verdict {
+    pub(super) async fn ask(&self, call: &Call) -> RequestOutcome {
         let turn = self.next.get();
         self.next.set(turn + 1);
-        compio::time::sleep(2 * DELAY).await;
+        compio::time::sleep(2 * FABRIC_DELAY).await;
         let url = format!("http://{}{}", self.targets[turn % self.targets.len()], call.path);
         let answer = async {
             let response = self.client.get(url)?.send().await?;
@@ -36,10 +36,10 @@
             response.bytes().await.map(|_| status)
         };
         match answer.await {
-            Ok(200) => Verdict::Whole,
-            Ok(503) => Verdict::NotRun,
-            Ok(status) => Verdict::Refused(status),
-            Err(_) => Verdict::Broken,
+            Ok(200) => RequestOutcome::Whole,
+            Ok(503) => RequestOutcome::NotRun,
+            Ok(status) => RequestOutcome::Refused(status),
+            Err(_) => RequestOutcome::Broken,
         }
     }
 }
--- a/crates/dillmill-standins/src/load/source.rs
+++ b/crates/dillmill-standins/src/load/generator.rs
@@ -7,17 +7,17 @@
 use rand::{Rng, SeedableRng};
 
 use super::MEAN_SERVICE_MS;
-use super::measured::MeasuredGroups;
-use super::straight::Straight;
+use super::direct::DirectCaller;
+use super::measurements::MeasurementsByGroup;
 use crate::Caller;
 use crate::caller::Call;
-use crate::traffic::{Verdict, ask_on};
+use crate::traffic::{RequestOutcome, call_on_flow};
 
 const FLOWS_PER_GROUP: usize = 24;
-const CALL_LIMIT: Duration = Duration::from_secs(15);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Requests of one group at random times, on a set of flows.
-pub(super) struct Source {
+pub(super) struct LoadGenerator {
     pub(super) service: String,
     pub(super) group: String,
     pub(super) address: SocketAddr,
@@ -25,11 +25,11 @@
     pub(super) rate: f64,
     pub(super) seed: u64,
     pub(super) span: Duration,
-    pub(super) measured: MeasuredGroups,
-    pub(super) straight: Option<Straight>,
+    pub(super) measurements: MeasurementsByGroup,
+    pub(super) direct: Option<DirectCaller>,
 }
 
-impl Source {
+impl LoadGenerator {
     /// Asks until the span is over and all answers are there.
     pub(super) async fn run(self) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
@@ -48,7 +48,7 @@
             let flow = flows[rng.random_range(0..flows.len())].clone();
             let ms = exponential(&mut rng, MEAN_SERVICE_MS);
             let key = format!("{}-{}-{n}", self.service, self.group);
-            tasks.push(compio::runtime::spawn(self.one(flow, key, ms)));
+            tasks.push(compio::runtime::spawn(self.send_request(flow, key, ms)));
             n += 1;
             next += Duration::from_secs_f64(exponential(&mut rng, 1.0 / self.rate));
         }
@@ -57,7 +57,7 @@
         }
     }
 
-    fn one(
+    fn send_request(
         &self,
         flow: Rc<RefCell<Option<Caller>>>,
         key: String,
@@ -68,35 +68,35 @@
         let call = Call::new(path, format!("token-{}", self.group)).key(key);
         let (service, group) = (self.service.clone(), self.group.clone());
         let (address, certificate) = (self.address, self.certificate.clone());
-        let measured = self.measured.clone();
-        let straight = self.straight.clone();
+        let measurements = self.measurements.clone();
+        let direct = self.direct.clone();
         async move {
             let started = Instant::now();
             let work = async {
-                if let Some(straight) = &straight {
-                    return Some(straight.ask(&call).await);
+                if let Some(direct) = &direct {
+                    return Some(direct.ask(&call).await);
                 }
                 loop {
-                    let known = flow.borrow().as_ref().map(Caller::share);
-                    let mut caller = match known {
+                    let open_flow = flow.borrow().as_ref().map(Caller::share);
+                    let mut caller = match open_flow {
                         Some(caller) => caller,
                         None => Caller::connect(address, &certificate).await.ok()?,
                     };
-                    match ask_on(&mut caller, &service, &call).await {
-                        Some(verdict) => {
-                            let broken = verdict == Verdict::Broken;
+                    match call_on_flow(&mut caller, &service, &call).await {
+                        Some(request_outcome) => {
+                            let broken = request_outcome == RequestOutcome::Broken;
                             *flow.borrow_mut() = (!broken).then_some(caller);
-                            return Some(verdict);
+                            return Some(request_outcome);
                         }
                         None => *flow.borrow_mut() = None,
                     }
                 }
             };
-            let verdict = compio::time::timeout(CALL_LIMIT, work).await.ok().flatten();
+            let request_outcome = compio::time::timeout(CALL_TIMEOUT, work).await.ok().flatten();
             let wait = started
                 .elapsed()
                 .saturating_sub(Duration::from_millis(u64::try_from(ms.as_millis()).unwrap_or(0)));
-            measured.record(group, verdict.unwrap_or(Verdict::Broken), wait);
+            measurements.record(group, request_outcome.unwrap_or(RequestOutcome::Broken), wait);
         }
     }
 }
--- a/crates/dillmill-standins/src/load/load_spec.rs
+++ b/crates/dillmill-standins/src/load/load_spec.rs
@@ -23,5 +23,5 @@
     pub stop_agent: bool,
     /// The baseline: callers ask the targets themselves in turn, over HTTP/1.1, past dillmill.
     #[serde(default)]
-    pub straight: bool,
+    pub direct: bool,
 }
--- a/crates/dillmill-standins/src/load/measured.rs
+++ b/crates/dillmill-standins/src/load/measurements.rs
@@ -6,37 +6,37 @@
 use hdrhistogram::Histogram;
 
 use super::{GroupResult, LoadResult};
-use crate::traffic::{Verdict, Verdicts};
+use crate::traffic::{OutcomeCounts, RequestOutcome};
 
-const FIGURES: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// What callers of one group have seen.
-pub(super) struct Measured {
+pub(super) struct GroupMeasurements {
     waits: Histogram<u64>,
-    verdicts: Verdicts,
+    outcome_counts: OutcomeCounts,
 }
 
-impl Measured {
+impl GroupMeasurements {
     fn new() -> Self {
-        let waits = Histogram::new(FIGURES);
+        let waits = Histogram::new(SIGNIFICANT_DIGITS);
         Self {
             waits: waits.unwrap_or_else(|_| unreachable!("3 figures are allowed")),
-            verdicts: Verdicts::default(),
+            outcome_counts: OutcomeCounts::default(),
         }
     }
 }
 
 /// What all callers have seen, by group.
 #[derive(Clone, Default)]
-pub(super) struct MeasuredGroups(Rc<RefCell<BTreeMap<String, Measured>>>);
+pub(super) struct MeasurementsByGroup(Rc<RefCell<BTreeMap<String, GroupMeasurements>>>);
 
-impl MeasuredGroups {
+impl MeasurementsByGroup {
     /// Takes in the end of a request and how long it has waited beyond its time at the target.
-    pub(super) fn record(&self, group: String, verdict: Verdict, wait: Duration) {
+    pub(super) fn record(&self, group: String, request_outcome: RequestOutcome, wait: Duration) {
         let mut groups = self.0.borrow_mut();
-        let group = groups.entry(group).or_insert_with(Measured::new);
-        group.verdicts.add(verdict);
-        if verdict == Verdict::Whole {
+        let group = groups.entry(group).or_insert_with(GroupMeasurements::new);
+        group.outcome_counts.add(request_outcome);
+        if request_outcome == RequestOutcome::Whole {
             let _ = group.waits.record(u64::try_from(wait.as_micros()).unwrap_or(u64::MAX));
         }
     }
@@ -47,7 +47,7 @@
         let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
         let mut all = 0;
         for (group, m) in self.0.borrow().iter() {
-            let v = &m.verdicts;
+            let v = &m.outcome_counts;
             let refused: usize = v.refused.values().sum();
             let asked =
                 count(v.whole + v.not_run + v.unknown + v.broken + v.wrong_service + refused);
--- a/crates/dillmill-standins/src/packets.rs
+++ b/crates/dillmill-standins/src/packets.rs
@@ -42,23 +42,23 @@
     let packet = packet(sink_addr)?;
     let service = cluster.balancer_address("b1", "cotiza")?;
     let balancer = cluster.process("b1")?.id();
-    let (_bare, bare_id, bare_addr) = start_bare(&cluster, sink.addr)?;
+    let (_bare, bare_id, bare_addr) = start_forwarder(&cluster, sink.addr)?;
     compio::time::sleep(Duration::from_millis(200)).await;
-    let (mut ours, mut theirs) = (Vec::new(), Vec::new());
+    let (mut balancer_costs, mut forwarder_costs) = (Vec::new(), Vec::new());
     for _ in 0..ROUNDS {
-        theirs.push(sink.measure(bare_addr, bare_id, &packet)?);
-        ours.push(sink.measure(service, balancer, &packet)?);
+        forwarder_costs.push(sink.measure(bare_addr, bare_id, &packet)?);
+        balancer_costs.push(sink.measure(service, balancer, &packet)?);
     }
-    let (ours, theirs) = (median(ours), median(theirs));
+    let (balancer_costs, forwarder_costs) = (median(balancer_costs), median(forwarder_costs));
     let result = json!({
         "packets": PACKETS,
         "rounds": ROUNDS,
         "packet_bytes": PACKET_LEN,
-        "balancer_ns_per_packet": ours.ns_per_packet,
-        "bare_ns_per_packet": theirs.ns_per_packet,
-        "rate_against_bare": theirs.ns_per_packet / ours.ns_per_packet,
-        "balancer_delivered": ours.delivered,
-        "bare_delivered": theirs.delivered,
+        "balancer_ns_per_packet": balancer_costs.ns_per_packet,
+        "bare_ns_per_packet": forwarder_costs.ns_per_packet,
+        "rate_against_bare": forwarder_costs.ns_per_packet / balancer_costs.ns_per_packet,
+        "balancer_delivered": balancer_costs.delivered,
+        "bare_delivered": forwarder_costs.delivered,
     });
     println!("{result:#}");
     Ok(())
@@ -69,7 +69,7 @@
     costs.swap_remove(costs.len() / 2)
 }
 
-fn start_bare(
+fn start_forwarder(
     cluster: &Cluster,
     to: SocketAddr,
 ) -> Result<(Process, u32, SocketAddr), StandinError> {
--- a/crates/dillmill-standins/src/platform.rs
+++ b/crates/dillmill-standins/src/platform.rs
@@ -21,11 +21,11 @@
 use crate::StandinError;
 use crate::serve::{self, pause};
 
-const WATCH_POLL: Duration = Duration::from_millis(5);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Changes that a watch can still be told of.
-const HISTORY: usize = 10_000;
+const MAX_HISTORY: usize = 10_000;
 /// Entries of one page, as the platform's pages say.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
 /// Faults of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,7 +55,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct StoreState {
     entries: BTreeMap<String, Entry>,
     history: VecDeque<Entry>,
     current: Version,
@@ -65,10 +65,10 @@
     last_lease: u64,
 }
 
-impl Inner {
+impl StoreState {
     fn record(&mut self, entry: Entry) {
         self.history.push_back(entry);
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
@@ -85,13 +85,13 @@
     fn expire(&mut self) {
         let now = Instant::now();
         self.leases.retain(|_, (_, ends)| *ends > now);
-        let gone: Vec<String> = self
+        let expired: Vec<String> = self
             .entries
             .values()
             .filter(|e| e.lease != LeaseId::default() && !self.leases.contains_key(&e.lease))
             .map(|e| e.key.clone())
             .collect();
-        for key in gone {
+        for key in expired {
             self.current.0 += 1;
             self.remove(&key);
         }
@@ -103,8 +103,8 @@
             |key: &String| self.entries.get(key).map_or(Version::default(), |e| e.version);
         let conditions = &transaction.conditions;
         let differs = conditions.iter().any(|c| version(&c.key) != c.version);
-        let there = conditions.iter().filter_map(|c| self.entries.get(&c.key).cloned());
-        differs.then(|| there.collect())
+        let existing = conditions.iter().filter_map(|c| self.entries.get(&c.key).cloned());
+        differs.then(|| existing.collect())
     }
 
     fn commit(&mut self, transaction: Transaction) -> Version {
@@ -128,12 +128,12 @@
     }
 }
 
-type Shared = Arc<Mutex<Inner>>;
+type Shared = Arc<Mutex<StoreState>>;
 
-fn lock(store: &Shared) -> MutexGuard<'_, Inner> {
-    let mut inner = store.lock().unwrap_or_else(PoisonError::into_inner);
-    inner.expire();
-    inner
+fn lock(store: &Shared) -> MutexGuard<'_, StoreState> {
+    let mut state = store.lock().unwrap_or_else(PoisonError::into_inner);
+    state.expire();
+    state
 }
 
 /// Serves the platform on `addr` until the process ends.
@@ -149,15 +149,15 @@
         .route(COMMIT_PATH, post(commit))
         .route(GRANT_PATH, post(grant))
         .route(&format!("{RENEW_PATH}/{{id}}"), post(renew))
-        .route(&format!("{REVOKE_PATH}/{{id}}"), delete(end))
+        .route(&format!("{REVOKE_PATH}/{{id}}"), delete(revoke))
         .route("/standin/faults", get(faults).put(set_faults))
         .route("/standin/counts", get(counts))
         .with_state(Shared::default());
-    serve::forever(addr, router).await
+    serve::serve_until_exit(addr, router).await
 }
 
 /// Applies the faults that hit every call; `None` when the call goes on.
-async fn hit(store: &Shared) -> Option<Response> {
+async fn apply_call_faults(store: &Shared) -> Option<Response> {
     let faults = lock(store).faults.clone();
     if faults.slow_ms > 0 {
         pause(Duration::from_millis(faults.slow_ms)).await;
@@ -166,38 +166,38 @@
 }
 
 /// Answers a write, unless its answer is to be lost.
-fn written(inner: &mut Inner, answer: Response) -> Response {
-    if inner.faults.lose_write_answers > 0 {
-        inner.faults.lose_write_answers -= 1;
+fn write_response(state: &mut StoreState, answer: Response) -> Response {
+    if state.faults.lose_write_answers > 0 {
+        state.faults.lose_write_answers -= 1;
         return StatusCode::INTERNAL_SERVER_ERROR.into_response();
     }
     answer
 }
 
 async fn read(State(store): State<Shared>, Query(query): Query<KeyQuery>) -> Response {
-    if let Some(failed) = hit(&store).await {
+    if let Some(failed) = apply_call_faults(&store).await {
         return failed;
     }
-    let mut inner = lock(&store);
-    inner.counts.reads += 1;
-    match inner.entries.get(&query.key) {
+    let mut state = lock(&store);
+    state.counts.reads += 1;
+    match state.entries.get(&query.key) {
         Some(entry) => Json(entry.clone()).into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
 }
 
 async fn range(State(store): State<Shared>, Query(query): Query<RangeQuery>) -> Response {
-    if let Some(failed) = hit(&store).await {
+    if let Some(failed) = apply_call_faults(&store).await {
         return failed;
     }
-    let mut inner = lock(&store);
-    inner.counts.reads += 1;
+    let mut state = lock(&store);
+    state.counts.reads += 1;
     let wanted = |e: &&Entry| e.key.starts_with(&query.prefix) && e.key > query.after;
     let mut entries: Vec<Entry> =
-        inner.entries.values().filter(wanted).take(PAGE + 1).cloned().collect();
-    let more = entries.len() > PAGE;
-    entries.truncate(PAGE);
-    Json(Page { entries, more, current: inner.current, ..Page::default() }).into_response()
+        state.entries.values().filter(wanted).take(PAGE_SIZE + 1).cloned().collect();
+    let more = entries.len() > PAGE_SIZE;
+    entries.truncate(PAGE_SIZE);
+    Json(Page { entries, more, current: state.current, ..Page::default() }).into_response()
 }
 
 async fn watch(State(store): State<Shared>, Query(query): Query<WatchQuery>) -> Response {
@@ -209,66 +209,66 @@
 }
 
 async fn wait_for_changes(store: &Shared, query: &WatchQuery) -> Response {
-    let polls = query.wait_ms / u64::try_from(WATCH_POLL.as_millis()).unwrap_or(1);
+    let polls = query.wait_ms / u64::try_from(WATCH_POLL_INTERVAL.as_millis()).unwrap_or(1);
     for _ in 0..=polls {
-        if let Some(failed) = hit(store).await {
+        if let Some(failed) = apply_call_faults(store).await {
             return failed;
         }
         {
-            let inner = lock(store);
-            if inner.faults.forget_history {
+            let state = lock(store);
+            if state.faults.forget_history {
                 return StatusCode::GONE.into_response();
             }
-            let entries = inner.changes(&query.prefix, query.after);
+            let entries = state.changes(&query.prefix, query.after);
             if !entries.is_empty() {
-                return Json(Changes { entries, current: inner.current, ..Changes::default() })
+                return Json(Changes { entries, current: state.current, ..Changes::default() })
                     .into_response();
             }
         }
-        pause(WATCH_POLL).await;
+        pause(WATCH_POLL_INTERVAL).await;
     }
     Json(Changes { current: lock(store).current, ..Changes::default() }).into_response()
 }
 
 async fn commit(State(store): State<Shared>, Json(transaction): Json<Transaction>) -> Response {
-    if let Some(failed) = hit(&store).await {
+    if let Some(failed) = apply_call_faults(&store).await {
         return failed;
     }
-    let mut inner = lock(&store);
-    inner.counts.writes += 1;
+    let mut state = lock(&store);
+    state.counts.writes += 1;
     let no_lease = LeaseId::default();
     let mut leases = transaction.writes.iter().map(|w| w.lease).filter(|lease| *lease != no_lease);
-    if leases.any(|lease| !inner.leases.contains_key(&lease)) {
+    if leases.any(|lease| !state.leases.contains_key(&lease)) {
         return StatusCode::NOT_FOUND.into_response();
     }
-    if let Some(entries) = inner.conflict(&transaction) {
+    if let Some(entries) = state.conflict(&transaction) {
         let conflict = Conflict { entries, ..Conflict::default() };
         return (StatusCode::PRECONDITION_FAILED, Json(conflict)).into_response();
     }
-    let version = inner.commit(transaction);
-    written(&mut inner, Json(Committed { version }).into_response())
+    let version = state.commit(transaction);
+    write_response(&mut state, Json(Committed { version }).into_response())
 }
 
-async fn grant(State(store): State<Shared>, Json(wish): Json<GrantRequest>) -> Response {
-    if let Some(failed) = hit(&store).await {
+async fn grant(State(store): State<Shared>, Json(request): Json<GrantRequest>) -> Response {
+    if let Some(failed) = apply_call_faults(&store).await {
         return failed;
     }
-    let mut inner = lock(&store);
-    inner.counts.writes += 1;
-    inner.last_lease += 1;
-    let id = LeaseId(inner.last_lease);
-    let ttl = Duration::from_millis(wish.ttl_ms);
-    inner.leases.insert(id, (ttl, Instant::now() + ttl));
-    written(&mut inner, Json(Lease { id, ttl_ms: wish.ttl_ms }).into_response())
+    let mut state = lock(&store);
+    state.counts.writes += 1;
+    state.last_lease += 1;
+    let id = LeaseId(state.last_lease);
+    let ttl = Duration::from_millis(request.ttl_ms);
+    state.leases.insert(id, (ttl, Instant::now() + ttl));
+    write_response(&mut state, Json(Lease { id, ttl_ms: request.ttl_ms }).into_response())
 }
 
 async fn renew(State(store): State<Shared>, Path(id): Path<u64>) -> Response {
-    if let Some(failed) = hit(&store).await {
+    if let Some(failed) = apply_call_faults(&store).await {
         return failed;
     }
-    let mut inner = lock(&store);
-    inner.counts.renewals += 1;
-    match inner.leases.get_mut(&LeaseId(id)) {
+    let mut state = lock(&store);
+    state.counts.renewals += 1;
+    match state.leases.get_mut(&LeaseId(id)) {
         Some((ttl, ends)) => {
             *ends = Instant::now() + *ttl;
             StatusCode::OK.into_response()
@@ -277,13 +277,13 @@
     }
 }
 
-async fn end(State(store): State<Shared>, Path(id): Path<u64>) -> Response {
-    if let Some(failed) = hit(&store).await {
+async fn revoke(State(store): State<Shared>, Path(id): Path<u64>) -> Response {
+    if let Some(failed) = apply_call_faults(&store).await {
         return failed;
     }
-    let mut inner = lock(&store);
-    inner.counts.writes += 1;
-    match inner.leases.remove(&LeaseId(id)) {
+    let mut state = lock(&store);
+    state.counts.writes += 1;
+    match state.leases.remove(&LeaseId(id)) {
         Some(_) => StatusCode::OK.into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
--- a/crates/dillmill-standins/src/process.rs
+++ b/crates/dillmill-standins/src/process.rs
@@ -7,7 +7,7 @@
 
 use crate::StandinError;
 
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A started process; killed when dropped.
 #[derive(Debug)]
@@ -152,7 +152,7 @@
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status.success());
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         None
     }
--- a/crates/dillmill-standins/src/scenario.rs
+++ b/crates/dillmill-standins/src/scenario.rs
@@ -14,11 +14,13 @@
 use goldenscript::Context;
 
 use crate::caller::Call;
-use crate::traffic::{FeedLog, Traffic, Verdict, Verdicts, ask, feed, key_runs, traffic};
+use crate::traffic::{
+    FeedLog, OutcomeCounts, RequestOutcome, Traffic, call_on_new_flow, feed, key_runs, traffic,
+};
 use crate::{Cluster, StandinError};
 use steps::{
-    POLL, SETTLE_LIMIT, ask_many, change, first_agent, flood, forge, in_force, left, running_agent,
-    slots, spec, wrong_service,
+    POLL_INTERVAL, SETTLE_TIMEOUT, apply_change, ask_many, cluster_spec, first_agent, flood,
+    running_agent, send_forged_packets, slots, wait_in_force, wait_until_left, wrong_service,
 };
 
 mod step;
@@ -32,9 +34,9 @@
     cluster: Option<Cluster>,
     feeds: BTreeMap<String, Rc<RefCell<FeedLog>>>,
     traffic: BTreeMap<String, Rc<RefCell<Traffic>>>,
-    waiting: Vec<Rc<RefCell<Option<Verdicts>>>>,
+    pending: Vec<Rc<RefCell<Option<OutcomeCounts>>>>,
     frozen: Option<String>,
-    flood: Vec<JoinHandle<Verdict>>,
+    flood: Vec<JoinHandle<RequestOutcome>>,
 }
 
 impl ScenarioRunner {
@@ -49,7 +51,7 @@
             cluster: None,
             feeds: BTreeMap::new(),
             traffic: BTreeMap::new(),
-            waiting: Vec::new(),
+            pending: Vec::new(),
             frozen: None,
             flood: Vec::new(),
         })
@@ -79,8 +81,8 @@
             Step::Start { .. } => Ok(String::new()),
             Step::Ask { service, n, ms, group } => {
                 let group = group.as_deref().unwrap_or("tellers");
-                let verdicts = ask_many(cluster, service, *n, ms.unwrap_or(1), group).await?;
-                Ok(verdicts.to_string())
+                let outcome_counts = ask_many(cluster, service, *n, ms.unwrap_or(1), group).await?;
+                Ok(outcome_counts.to_string())
             }
             Step::AskKey { .. } => self.ask_key(step).await,
             Step::Runs { service, key } => {
@@ -103,7 +105,7 @@
                 Ok(String::new())
             }
             Step::Feeds { within } => {
-                let limit = within.map_or(SETTLE_LIMIT, Duration::from_millis);
+                let limit = within.map_or(SETTLE_TIMEOUT, Duration::from_millis);
                 self.show_feeds(limit).await
             }
             Step::Traffic { name, service, every, ms } => {
@@ -120,8 +122,8 @@
                 Traffic::end(&log, cluster, *some_refused).await
             }
             Step::Settled => cluster.wait_ready().await.map(|()| "all serve\n".to_owned()),
-            Step::InForce => in_force(cluster).await,
-            Step::Left(agent) => left(cluster, agent).await,
+            Step::InForce => wait_in_force(cluster).await,
+            Step::Left(agent) => wait_until_left(cluster, agent).await,
             Step::Pause(ms) => {
                 compio::time::sleep(Duration::from_millis(*ms)).await;
                 Ok(String::new())
@@ -129,13 +131,13 @@
             Step::KillRunning(service) => {
                 let agent = running_agent(cluster, service).await?;
                 cluster.process(&agent)?.kill();
-                cluster.forget(&agent);
+                cluster.remove_process(&agent);
                 Ok(String::new())
             }
             Step::KillFirst(service) => {
                 let agent = first_agent(cluster, service).await?;
                 cluster.process(&agent)?.kill();
-                cluster.forget(&agent);
+                cluster.remove_process(&agent);
                 Ok(String::new())
             }
             Step::RestartRunning(service) => {
@@ -162,13 +164,13 @@
                 let counted = cluster.metric(name, metric).await? > 0;
                 Ok(format!("{metric} of {name}: {}\n", if counted { "some" } else { "none" }))
             }
-            Step::Forge { service, n } => forge(cluster, service, *n).await,
-            _ => change(cluster, step).await,
+            Step::Forge { service, n } => send_forged_packets(cluster, service, *n).await,
+            _ => apply_change(cluster, step).await,
         }
     }
 
     async fn start(&mut self, step: &Step, forming: bool) -> Result<String, StandinError> {
-        let cluster = Box::pin(Cluster::start(spec(step))).await?;
+        let cluster = Box::pin(Cluster::start(cluster_spec(step))).await?;
         if !forming {
             cluster.wait_rings().await?;
         }
@@ -190,56 +192,56 @@
         for _ in 0..at_once.unwrap_or(1) {
             let (call, certificate, service) = (call.clone(), certificate.clone(), service.clone());
             tasks.push(compio::runtime::spawn(async move {
-                ask(address, &certificate, &service, &call).await
+                call_on_new_flow(address, &certificate, &service, &call).await
             }));
         }
         let outcome = Rc::new(RefCell::new(None));
         let sum = {
             let outcome = outcome.clone();
             async move {
-                let mut verdicts = Verdicts::default();
+                let mut outcome_counts = OutcomeCounts::default();
                 for task in tasks {
-                    if let Ok(verdict) = task.await {
-                        verdicts.add(verdict);
+                    if let Ok(request_outcome) = task.await {
+                        outcome_counts.add(request_outcome);
                     }
                 }
-                *outcome.borrow_mut() = Some(verdicts);
+                *outcome.borrow_mut() = Some(outcome_counts);
             }
         };
         if background.unwrap_or(false) {
             compio::runtime::spawn(sum).detach();
-            self.waiting.push(outcome);
+            self.pending.push(outcome);
             return Ok(String::new());
         }
         sum.await;
-        let verdicts = outcome.borrow_mut().take().unwrap_or_default();
-        Ok(verdicts.to_string())
+        let outcome_counts = outcome.borrow_mut().take().unwrap_or_default();
+        Ok(outcome_counts.to_string())
     }
 
     async fn end_flood(&mut self) -> Result<String, StandinError> {
-        let mut verdicts = Verdicts::default();
+        let mut outcome_counts = OutcomeCounts::default();
         for one in self.flood.drain(..) {
-            verdicts.add(one.await.unwrap_or(Verdict::Broken));
+            outcome_counts.add(one.await.unwrap_or(RequestOutcome::Broken));
         }
         let some = |n: usize| if n > 0 { "some" } else { "none" };
         Ok(format!(
             "{} whole, {} told to come back, {} unknown, {} broken\n",
-            some(verdicts.whole),
-            some(verdicts.not_run),
-            verdicts.unknown,
-            verdicts.broken,
+            some(outcome_counts.whole),
+            some(outcome_counts.not_run),
+            outcome_counts.unknown,
+            outcome_counts.broken,
         ))
     }
 
     async fn show_background(&mut self) -> Result<String, StandinError> {
         let mut out = String::new();
-        for waiting in self.waiting.drain(..) {
+        for pending in self.pending.drain(..) {
             let begun = Instant::now();
-            while waiting.borrow().is_none() && begun.elapsed() < SETTLE_LIMIT {
-                compio::time::sleep(POLL).await;
+            while pending.borrow().is_none() && begun.elapsed() < SETTLE_TIMEOUT {
+                compio::time::sleep(POLL_INTERVAL).await;
             }
-            match &*waiting.borrow() {
-                Some(verdicts) => out.push_str(&verdicts.to_string()),
+            match &*pending.borrow() {
+                Some(outcome_counts) => out.push_str(&outcome_counts.to_string()),
                 None => out.push_str("no answer\n"),
             }
         }
@@ -250,14 +252,14 @@
         let before: Vec<u64> = self.feeds.values().map(|f| f.borrow().ticks).collect();
         let begun = Instant::now();
         while begun.elapsed() < limit {
-            let moved = self.feeds.values().zip(&before).all(|(feed, before)| {
+            let progressed = self.feeds.values().zip(&before).all(|(feed, before)| {
                 let feed = feed.borrow();
                 feed.ended.is_some() || feed.ticks >= before + 3
             });
-            if moved {
+            if progressed {
                 break;
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         let mut out = String::new();
         for ((name, feed), before) in self.feeds.iter().zip(&before) {
--- a/crates/dillmill-standins/src/scenario/steps.rs
+++ b/crates/dillmill-standins/src/scenario/steps.rs
@@ -9,14 +9,14 @@
 use crate::caller::Call;
 use crate::platform::PlatformFaults;
 use crate::target::TargetRules;
-use crate::traffic::{Verdict, Verdicts, ask, ask_on};
+use crate::traffic::{OutcomeCounts, RequestOutcome, call_on_flow, call_on_new_flow};
 use crate::{Cluster, ClusterSpec, ServiceSpec, StandinError};
 
-pub(super) const SETTLE_LIMIT: Duration = Duration::from_secs(20);
-pub(super) const POLL: Duration = Duration::from_millis(50);
-const STOP_LIMIT: Duration = Duration::from_secs(20);
+pub(super) const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub(super) fn spec(step: &Step) -> ClusterSpec {
+pub(super) fn cluster_spec(step: &Step) -> ClusterSpec {
     let Step::Start { balancers, cotiza, cuadre, slots, seed, watchers, operation, limits, .. } =
         step
     else {
@@ -49,14 +49,14 @@
     n: usize,
     ms: u64,
     group: &str,
-) -> Result<Verdicts, StandinError> {
+) -> Result<OutcomeCounts, StandinError> {
     let call = Call::new(format!("/run?service={service}&ms={ms}"), format!("token-{group}"));
     let address = cluster.service_address(service)?;
-    let mut verdicts = Verdicts::default();
+    let mut outcome_counts = OutcomeCounts::default();
     for _ in 0..n {
-        verdicts.add(ask(address, cluster.certificate(), service, &call).await);
+        outcome_counts.add(call_on_new_flow(address, cluster.certificate(), service, &call).await);
     }
-    Ok(verdicts)
+    Ok(outcome_counts)
 }
 
 const FLOOD_FLOWS: usize = 12;
@@ -67,7 +67,7 @@
     n: usize,
     group: &str,
     ms: u64,
-) -> Result<Vec<JoinHandle<Verdict>>, StandinError> {
+) -> Result<Vec<JoinHandle<RequestOutcome>>, StandinError> {
     let call = Call::new(format!("/run?service={service}&ms={ms}"), format!("token-{group}"));
     let mut flows = Vec::new();
     for _ in 0..FLOOD_FLOWS {
@@ -78,18 +78,21 @@
         let mut caller = flows[i % flows.len()].share();
         let (call, service) = (call.clone(), service.to_owned());
         requests.push(compio::runtime::spawn(async move {
-            ask_on(&mut caller, &service, &call).await.unwrap_or(Verdict::Broken)
+            call_on_flow(&mut caller, &service, &call).await.unwrap_or(RequestOutcome::Broken)
         }));
     }
     Ok(requests)
 }
 
 /// Steps that change processes, settings or faults.
-pub(super) async fn change(cluster: &mut Cluster, step: &Step) -> Result<String, StandinError> {
+pub(super) async fn apply_change(
+    cluster: &mut Cluster,
+    step: &Step,
+) -> Result<String, StandinError> {
     match step {
         Step::Kill(name) => {
             cluster.process(name)?.kill();
-            cluster.forget(name);
+            cluster.remove_process(name);
         }
         Step::Freeze(name) => cluster.process(name)?.freeze()?,
         Step::Thaw(name) => cluster.process(name)?.thaw()?,
@@ -102,7 +105,7 @@
         Step::Restart(name) => cluster.restart(name)?,
         Step::AddBalancer(name) => cluster.start_balancer(name)?,
         Step::AddTarget(service, i) => {
-            cluster.start_pair(&ServiceSpec::new(service, 0, 5), *i)?;
+            cluster.start_target_with_agent(&ServiceSpec::new(service, 0, 5), *i)?;
         }
         Step::Use(names) => {
             let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -153,8 +156,8 @@
 }
 
 pub(super) async fn ended(cluster: &mut Cluster, name: &str) -> Result<String, StandinError> {
-    let ended = cluster.process(name)?.wait(STOP_LIMIT).await;
-    cluster.forget(name);
+    let ended = cluster.process(name)?.wait(STOP_TIMEOUT).await;
+    cluster.remove_process(name);
     Ok(match ended {
         Some(true) => format!("{name} ended well\n"),
         Some(false) => format!("{name} failed\n"),
@@ -178,7 +181,7 @@
     out
 }
 
-pub(super) async fn in_force(cluster: &Cluster) -> Result<String, StandinError> {
+pub(super) async fn wait_in_force(cluster: &Cluster) -> Result<String, StandinError> {
     let output = cluster.ctl(&["status", "--wait", "15s"])?;
     compio::time::sleep(Duration::ZERO).await;
     Ok(match output.code {
@@ -193,13 +196,13 @@
     service: &str,
 ) -> Result<String, StandinError> {
     let begun = Instant::now();
-    while begun.elapsed() < SETTLE_LIMIT {
+    while begun.elapsed() < SETTLE_TIMEOUT {
         for target in cluster.target_names().iter().filter(|t| t.starts_with(service)) {
             if cluster.target_counts(target).await?.running > 0 {
                 return Ok(target.replace("-t", "-a"));
             }
         }
-        compio::time::sleep(POLL).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
     Err(StandinError::new("find the running target", "none runs anything"))
 }
@@ -216,7 +219,10 @@
 }
 
 /// Waits until only the given agent itself takes it for serving, or nobody does.
-pub(super) async fn left(cluster: &Cluster, agent: &str) -> Result<String, StandinError> {
+pub(super) async fn wait_until_left(
+    cluster: &Cluster,
+    agent: &str,
+) -> Result<String, StandinError> {
     let others: Vec<String> = cluster.members().into_iter().filter(|m| m != agent).collect();
     let all = u64::try_from(others.len()).unwrap_or(u64::MAX);
     let begun = Instant::now();
@@ -232,10 +238,10 @@
         if behind.is_empty() {
             return Ok(format!("nobody gives new work to {agent}\n"));
         }
-        if begun.elapsed() > SETTLE_LIMIT {
+        if begun.elapsed() > SETTLE_TIMEOUT {
             return Ok(format!("still taken for serving by {behind:?}\n"));
         }
-        compio::time::sleep(POLL).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -258,7 +264,7 @@
     Ok(format!("{wrong} requests at the wrong service\n"))
 }
 
-pub(super) async fn forge(
+pub(super) async fn send_forged_packets(
     cluster: &Cluster,
     service: &str,
     n: usize,
--- a/crates/dillmill-standins/src/serve.rs
+++ b/crates/dillmill-standins/src/serve.rs
@@ -14,7 +14,7 @@
 /// # Errors
 ///
 /// Fails when the address can't be bound.
-pub async fn forever(addr: SocketAddr, router: Router) -> Result<(), StandinError> {
+pub async fn serve_until_exit(addr: SocketAddr, router: Router) -> Result<(), StandinError> {
     let listener =
         TcpListener::bind(addr).await.map_err(StandinError::at(format!("bind {addr}")))?;
     cyper_axum::serve(listener, router).await.map_err(StandinError::at(format!("serve {addr}")))
--- a/crates/dillmill-standins/src/slopes.rs
+++ b/crates/dillmill-standins/src/slopes.rs
@@ -22,13 +22,13 @@
 const SERVICES: u32 = 640;
 const GROUPS: u32 = 60;
 
-fn each(times: u32, mut f: impl FnMut(u32)) -> Duration {
+fn mean_time(times: u32, mut f: impl FnMut(u32)) -> Duration {
     let started = Instant::now();
     (0..times).for_each(&mut f);
     started.elapsed() / times
 }
 
-fn ns(span: Duration) -> Value {
+fn nanos_json(span: Duration) -> Value {
     json!(span.as_nanos())
 }
 
@@ -80,7 +80,7 @@
     let key = FlowKey { id: 1, secret: Secret::new(FLOW_KEY) };
     let keys = FlowKeys::new(&[key]).map_err(StandinError::at("flow key"))?;
     let id = keys.seal(FlowId { service: ServiceNumber(1), agent: addr(1) }, [1; 7]);
-    let open = each(1_000_000, |_| {
+    let open = mean_time(1_000_000, |_| {
         let _ = black_box(keys.open(black_box(&id)));
     });
     let mut lookups = Vec::new();
@@ -92,12 +92,12 @@
             weight: Weight(100),
         });
         let table = HomeTable::new(homes);
-        let lookup = each(20_000, |i| {
+        let lookup = mean_time(20_000, |i| {
             black_box(table.home(&i.to_le_bytes()));
         });
         lookups.push(json!({ "targets": n, "ns": lookup.as_nanos() }));
     }
-    Ok(json!({ "open_id_ns": ns(open), "first_packet_lookup": lookups }))
+    Ok(json!({ "open_id_ns": nanos_json(open), "first_packet_lookup": lookups }))
 }
 
 fn membership() -> Result<Value, StandinError> {
@@ -115,12 +115,12 @@
     // Lets the fresh records go, as after a join.
     while view.tick(now, &mut |n| n / 2).len() > 8 {}
     let mut at = now;
-    let tick = each(200, |_| {
+    let tick = mean_time(200, |_| {
         at = at + Duration::from_millis(50);
         black_box(view.tick(at, &mut |n| n / 2));
     });
     let mut version = 1;
-    let change = each(200, |i| {
+    let change = mean_time(200, |i| {
         version += 1;
         let mut m = members[usize::try_from(i).unwrap_or(0)].clone();
         m.version = version;
@@ -135,7 +135,7 @@
         digest: view.digest(),
         receiver_record: None,
     };
-    let buckets = each(50, |_| {
+    let buckets = mean_time(50, |_| {
         black_box(view.buckets(7));
     });
     Ok(json!({
@@ -185,14 +185,14 @@
     let before = crate::usage::Usage::of(std::process::id()).memory;
     let tree = big_tree()?;
     let bytes: usize = tree.nodes.values().map(|node| node.text.len()).sum();
-    let check = each(5, |_| {
+    let check = mean_time(5, |_| {
         let _ = black_box(tree.check());
     });
     let compiled = tree.check().map_err(|p| StandinError::new("check", format!("{p:?}")))?;
     let memory = crate::usage::Usage::of(std::process::id()).memory.saturating_sub(before);
     let group = "group-3".parse().map_err(StandinError::at("name"))?;
     let service = "service-3".parse().map_err(StandinError::at("name"))?;
-    let limits = each(100_000, |_| {
+    let limits = mean_time(100_000, |_| {
         black_box(compiled.limits(&group, &service));
     });
     Ok(json!({
@@ -213,9 +213,9 @@
         let names = (0..groups)
             .map(|g| format!("group-{g}").parse::<GroupName>().map_err(StandinError::at("name")))
             .collect::<Result<Vec<_>, _>>()?;
-        let each_request = each(50_000, |i| {
+        let each_request = mean_time(50_000, |i| {
             let i = u64::from(i);
-            let ask = SchedulingRequest {
+            let request = SchedulingRequest {
                 id: RequestId(i),
                 group: names[usize::try_from(i % groups).unwrap_or(0)].clone(),
                 weight: Weight(10),
@@ -223,7 +223,7 @@
                 max_queue: 64,
                 max_wait: Duration::from_hours(1),
             };
-            black_box(scheduler.offer(&ask, now));
+            black_box(scheduler.offer(&request, now));
             if i >= 20 {
                 black_box(scheduler.finish(RequestId(i - 20), now));
             }
@@ -276,7 +276,7 @@
         for (group, _) in offers.iter().filter(|(_, due)| *due) {
             let id = RequestId(u64::try_from(asked.len()).unwrap_or(u64::MAX));
             asked.push((*group == &small, now));
-            let ask = SchedulingRequest {
+            let request = SchedulingRequest {
                 id,
                 group: (*group).clone(),
                 weight: Weight(10),
@@ -284,7 +284,7 @@
                 max_queue: 64,
                 max_wait: Duration::from_secs(2),
             };
-            if scheduler.offer(&ask, now) == Offer::Run {
+            if scheduler.offer(&request, now) == Offer::Run {
                 started.push(id);
             }
         }
@@ -308,7 +308,7 @@
     let mut ledger = ClaimLedger::new(ring_member(1), Duration::from_mins(10));
     ledger.adopt(ring.clone(), now);
     let before = crate::usage::Usage::of(std::process::id()).memory;
-    let claim = each(200_000, |n| {
+    let claim = mean_time(200_000, |n| {
         let mut key = [0; 16];
         key[..4].copy_from_slice(&n.to_le_bytes());
         let key = ClaimKey(key);
--- a/crates/dillmill-standins/src/subnet.rs
+++ b/crates/dillmill-standins/src/subnet.rs
@@ -10,7 +10,7 @@
 static TAKEN: Mutex<BTreeSet<(u8, u8)>> = Mutex::new(BTreeSet::new());
 /// Ports below those that the kernel gives out itself; another program's net may be the same one, so each net
 /// begins somewhere in them.
-const FIRST_PORTS: std::ops::Range<u16> = 10_000..30_000;
+const FIRST_PORT_RANGE: std::ops::Range<u16> = 10_000..30_000;
 
 /// Loopback addresses from `127.A.B.0` on.
 ///
@@ -31,7 +31,7 @@
         loop {
             let (second, third) = (rng.random_range(16..=250), rng.random_range(1..=247));
             if taken.insert((second, third)) {
-                return Self { second, third, next_port: rng.random_range(FIRST_PORTS) };
+                return Self { second, third, next_port: rng.random_range(FIRST_PORT_RANGE) };
             }
         }
     }
--- a/crates/dillmill-standins/src/target.rs
+++ b/crates/dillmill-standins/src/target.rs
@@ -117,16 +117,16 @@
         .route("/standin/counts", get(counts_page))
         .route("/standin/rules", get(rules_page).put(set_rules))
         .with_state(Arc::new(Mutex::new(target)));
-    serve::forever(addr, router).await
+    serve::serve_until_exit(addr, router).await
 }
 
 /// Counts a run as cancelled unless it ended.
-struct Running {
+struct RunGuard {
     target: Shared,
     ended: bool,
 }
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         let mut target = lock(&self.target);
         target.counts.running -= 1;
@@ -140,11 +140,11 @@
     headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
 }
 
-fn begin(
+fn admit(
     shared: &Shared,
     headers: &HeaderMap,
     service: Option<&String>,
-) -> Result<(Running, u64), Box<Response>> {
+) -> Result<(RunGuard, u64), Box<Response>> {
     let mut target = lock(shared);
     if service.is_some_and(|asked| *asked != target.service) {
         target.counts.wrong_service += 1;
@@ -163,7 +163,7 @@
     if let Some(group) = header(headers, "dillmill-group") {
         *target.counts.groups.entry(group).or_default() += 1;
     }
-    Ok((Running { target: shared.clone(), ended: false }, target.counts.runs))
+    Ok((RunGuard { target: shared.clone(), ended: false }, target.counts.runs))
 }
 
 async fn run_request(
@@ -172,8 +172,8 @@
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    let (mut running, number) = match begin(&target, &headers, query.service.as_ref()) {
-        Ok(begun) => begun,
+    let (mut running, number) = match admit(&target, &headers, query.service.as_ref()) {
+        Ok(admitted) => admitted,
         Err(shed) => return *shed,
     };
     let cold = {
@@ -198,9 +198,9 @@
 }
 
 /// Counts an open feed.
-struct Feed(Shared);
+struct FeedGuard(Shared);
 
-impl Drop for Feed {
+impl Drop for FeedGuard {
     fn drop(&mut self) {
         lock(&self.0).counts.feeds -= 1;
     }
@@ -215,7 +215,7 @@
         target.counts.feeds += 1;
         (target.service.clone(), target.name.clone())
     };
-    let open = Feed(shared);
+    let open = FeedGuard(shared);
     let ticks = stream::unfold((0, open), move |(n, open)| {
         let line = format!("tick={n} service={service} target={name}\n");
         async move {
--- a/crates/dillmill-standins/src/traffic.rs
+++ b/crates/dillmill-standins/src/traffic.rs
@@ -10,12 +10,12 @@
 use crate::caller::{Call, CallError};
 use crate::{Caller, Cluster, StandinError};
 
-const CALL_LIMIT: Duration = Duration::from_secs(20);
-const FLOW_REUSE: u64 = 4;
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
+const REQUESTS_PER_FLOW: u64 = 4;
 
 /// What became of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RequestOutcome {
     /// The whole answer of the right service.
     Whole,
     /// Told that it was not run.
@@ -32,7 +32,7 @@
 
 /// Counts of verdicts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Verdicts {
+pub struct OutcomeCounts {
     /// Whole answers.
     pub whole: usize,
     /// Told "not run".
@@ -47,21 +47,21 @@
     pub broken: usize,
 }
 
-impl Verdicts {
+impl OutcomeCounts {
     /// Counts one more.
-    pub fn add(&mut self, verdict: Verdict) {
-        match verdict {
-            Verdict::Whole => self.whole += 1,
-            Verdict::NotRun => self.not_run += 1,
-            Verdict::Unknown => self.unknown += 1,
-            Verdict::WrongService => self.wrong_service += 1,
-            Verdict::Refused(status) => *self.refused.entry(status).or_default() += 1,
-            Verdict::Broken => self.broken += 1,
+    pub fn add(&mut self, request_outcome: RequestOutcome) {
+        match request_outcome {
+            RequestOutcome::Whole => self.whole += 1,
+            RequestOutcome::NotRun => self.not_run += 1,
+            RequestOutcome::Unknown => self.unknown += 1,
+            RequestOutcome::WrongService => self.wrong_service += 1,
+            RequestOutcome::Refused(status) => *self.refused.entry(status).or_default() += 1,
+            RequestOutcome::Broken => self.broken += 1,
         }
     }
 }
 
-impl fmt::Display for Verdicts {
+impl fmt::Display for OutcomeCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} whole", self.whole)?;
         let rest = [
@@ -83,35 +83,40 @@
 }
 
 /// Makes a call on a new flow.
-pub async fn ask(service: SocketAddr, certificate: &str, name: &str, call: &Call) -> Verdict {
+pub async fn call_on_new_flow(
+    service: SocketAddr,
+    certificate: &str,
+    name: &str,
+    call: &Call,
+) -> RequestOutcome {
     let work = async {
         loop {
             let mut caller = Caller::connect(service, certificate).await.ok()?;
-            if let Some(verdict) = ask_on(&mut caller, name, call).await {
-                return Some(verdict);
+            if let Some(request_outcome) = call_on_flow(&mut caller, name, call).await {
+                return Some(request_outcome);
             }
         }
     };
-    compio::time::timeout(CALL_LIMIT, work).await.ok().flatten().unwrap_or(Verdict::Broken)
+    compio::time::timeout(CALL_TIMEOUT, work).await.ok().flatten().unwrap_or(RequestOutcome::Broken)
 }
 
 /// Makes a call on an open flow; `None` if the caller has to move to another.
-pub async fn ask_on(caller: &mut Caller, name: &str, call: &Call) -> Option<Verdict> {
+pub async fn call_on_flow(caller: &mut Caller, name: &str, call: &Call) -> Option<RequestOutcome> {
     let answer = match caller.call(call).await {
         Ok(answer) => answer,
-        Err(CallError::Moved) => return None,
+        Err(CallError::NotProcessed) => return None,
         Err(CallError::Broken(e)) => {
             // Shown by a test that fails.
             eprintln!("call of {name} broke off: {e}");
-            return Some(Verdict::Broken);
+            return Some(RequestOutcome::Broken);
         }
     };
     Some(match (answer.status, answer.outcome.as_deref()) {
-        (200, _) if answer.field("service") == Some(name) => Verdict::Whole,
-        (200, _) => Verdict::WrongService,
-        (_, Some("not-run")) => Verdict::NotRun,
-        (_, Some("unknown")) => Verdict::Unknown,
-        (status, _) => Verdict::Refused(status),
+        (200, _) if answer.field("service") == Some(name) => RequestOutcome::Whole,
+        (200, _) => RequestOutcome::WrongService,
+        (_, Some("not-run")) => RequestOutcome::NotRun,
+        (_, Some("unknown")) => RequestOutcome::Unknown,
+        (status, _) => RequestOutcome::Refused(status),
     })
 }
 
@@ -187,7 +192,7 @@
 #[derive(Debug, Default)]
 pub struct Traffic {
     service: String,
-    verdicts: BTreeMap<String, Verdict>,
+    outcomes: BTreeMap<String, RequestOutcome>,
     stop: bool,
     running: usize,
 }
@@ -215,16 +220,16 @@
                 return;
             }
             source.borrow_mut().running += 1;
-            let one = flow(source.clone(), address, certificate.clone(), name.clone(), n, ms);
+            let one = run_flow(source.clone(), address, certificate.clone(), name.clone(), n, ms);
             compio::runtime::spawn(one).detach();
-            compio::time::sleep(every * u32::try_from(FLOW_REUSE).unwrap_or(1)).await;
+            compio::time::sleep(every * u32::try_from(REQUESTS_PER_FLOW).unwrap_or(1)).await;
         }
     })
     .detach();
     Ok(log)
 }
 
-async fn flow(
+async fn run_flow(
     log: Rc<RefCell<Traffic>>,
     address: SocketAddr,
     certificate: String,
@@ -233,7 +238,7 @@
     ms: u64,
 ) {
     let mut caller = None;
-    for i in 0..FLOW_REUSE {
+    for i in 0..REQUESTS_PER_FLOW {
         let key = format!("{service}-{n}-{i}");
         let path = format!("/run?service={service}&ms={ms}");
         let call = Call::new(path, "token-tellers").key(key.clone());
@@ -244,14 +249,14 @@
                     let opened = opened.inspect_err(|e| eprintln!("flow not opened: {e}"));
                     caller = Some(opened.ok()?);
                 }
-                match ask_on(caller.as_mut()?, &service, &call).await {
-                    Some(verdict) => return Some(verdict),
+                match call_on_flow(caller.as_mut()?, &service, &call).await {
+                    Some(request_outcome) => return Some(request_outcome),
                     None => caller = None,
                 }
             }
         };
-        let verdict = compio::time::timeout(CALL_LIMIT, work).await.ok().flatten();
-        log.borrow_mut().verdicts.insert(key, verdict.unwrap_or(Verdict::Broken));
+        let request_outcome = compio::time::timeout(CALL_TIMEOUT, work).await.ok().flatten();
+        log.borrow_mut().outcomes.insert(key, request_outcome.unwrap_or(RequestOutcome::Broken));
     }
     log.borrow_mut().running -= 1;
 }
@@ -279,15 +284,15 @@
             }
         }
         let log = log.borrow();
-        let mut sum = Verdicts::default();
+        let mut sum = OutcomeCounts::default();
         let (mut doubled, mut false_answers) = (0, 0);
-        for (key, verdict) in &log.verdicts {
-            sum.add(*verdict);
+        for (key, request_outcome) in &log.outcomes {
+            sum.add(*request_outcome);
             let ran = runs.get(key).copied().unwrap_or(0);
             doubled += u32::from(ran > 1);
-            let is_false = match verdict {
-                Verdict::Whole => ran == 0,
-                Verdict::NotRun => ran > 0,
+            let is_false = match request_outcome {
+                RequestOutcome::Whole => ran == 0,
+                RequestOutcome::NotRun => ran > 0,
                 _ => false,
             };
             false_answers += u32::from(is_false);
--- a/crates/dillmill-standins/src/waiting.rs
+++ b/crates/dillmill-standins/src/waiting.rs
@@ -22,43 +22,43 @@
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
 /// Copies of an opening packet come after these times.
-const COPIES: [Duration; 3] =
+const COPY_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(200), Duration::from_millis(600)];
 /// A try ends at the latest after this time without an answer.
-const LONGEST_TRY: Duration = Duration::from_millis(1400);
-const TRIES: u32 = 3;
+const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1400);
+const MAX_ATTEMPTS: u32 = 3;
 /// Pause of a caller between two tries.
-const PAUSE: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// A slot is kept free this long for a caller that does not open its flow.
-const IN_VAIN: Duration = Duration::from_millis(30);
+const ABANDONED_HOLD: Duration = Duration::from_millis(30);
 /// When it is known that a caller has not opened its flow.
-const KNOWN_AFTER: Duration = Duration::from_millis(100);
+const OUTCOME_DELAY: Duration = Duration::from_millis(100);
 /// When the power goes, and how long callers go on asking.
-const POWER_GOES: Duration = Duration::from_secs(1);
-const LENGTH: Duration = Duration::from_secs(8);
+const OUTAGE_START: Duration = Duration::from_secs(1);
+const ARRIVAL_PERIOD: Duration = Duration::from_secs(8);
 /// Targets are slow for this long after their start.
-const COLD: Duration = Duration::from_secs(2);
+const COLD_PERIOD: Duration = Duration::from_secs(2);
 
 /// Which packet is taken next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
+pub enum QueueOrder {
     /// As agents decide.
-    Patience,
+    Agent,
     /// The newest first, whoever else waits.
     Newest,
     /// The oldest first.
     Oldest,
 }
 
-impl Order {
+impl QueueOrder {
     /// All orders.
-    pub const ALL: [Self; 3] = [Self::Patience, Self::Newest, Self::Oldest];
+    pub const ALL: [Self; 3] = [Self::Agent, Self::Newest, Self::Oldest];
 }
 
-impl Display for Order {
+impl Display for QueueOrder {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Patience => "patience",
+            Self::Agent => "patience",
             Self::Newest => "newest",
             Self::Oldest => "oldest",
         })
@@ -67,7 +67,7 @@
 
 /// The load of a service and the trouble that it meets.
 #[derive(Debug, Clone, Copy)]
-pub struct Trouble {
+pub struct OutageScenario {
     /// Requests a second.
     pub load: f64,
     /// Slots of all targets.
@@ -79,7 +79,7 @@
     /// Time-out of a request.
     pub timeout: Duration,
     /// Time within which an answer is of full use.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// How long nothing gets through.
     pub outage: Duration,
 }
@@ -94,101 +94,101 @@
     /// Not answered before the time-out.
     pub lost: u32,
     /// Packets taken whose callers had gone.
-    pub in_vain: u32,
+    pub abandoned: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Try,
+    AttemptStarts,
     Packet { copies: u32 },
-    TryEnds,
+    AttemptEnds,
     Outcome { waited: Duration, opened: bool },
     Done,
-    Free,
+    SlotFreed,
 }
 
 #[derive(Debug)]
 struct Request {
     asked: Timestamp,
     work: Duration,
-    tries: u32,
-    try_began: Timestamp,
-    try_open: bool,
+    attempt: u32,
+    attempt_began: Timestamp,
+    attempt_open: bool,
     served: bool,
     answered: Option<Timestamp>,
 }
 
 /// Plays one trouble with one order.
 #[must_use]
-pub fn play(order: Order, trouble: &Trouble, seed: u64) -> Tally {
-    let mut play = Play::new(order, *trouble, seed);
-    while let Some(Reverse((now, _, n, tries, event))) = play.events.pop() {
-        play.event(n, tries, event, now);
+pub fn simulate(order: QueueOrder, scenario: &OutageScenario, seed: u64) -> Tally {
+    let mut simulate = Simulation::new(order, *scenario, seed);
+    while let Some(Reverse((now, _, n, attempt, event))) = simulate.events.pop() {
+        simulate.event(n, attempt, event, now);
     }
-    play.tally()
+    simulate.tally()
 }
 
 type Entry = Reverse<(Timestamp, u64, usize, u32, Event)>;
 
-struct Play {
-    order: Order,
-    trouble: Trouble,
+struct Simulation {
+    order: QueueOrder,
+    scenario: OutageScenario,
     requests: Vec<Request>,
     events: BinaryHeap<Entry>,
     scheduled: u64,
     queue: OpenQueue,
-    plain: Vec<(usize, u32)>,
+    waiting: Vec<(usize, u32)>,
     busy: u32,
-    in_vain: u32,
+    abandoned: u32,
 }
 
-impl Play {
-    fn new(order: Order, trouble: Trouble, seed: u64) -> Self {
+impl Simulation {
+    fn new(order: QueueOrder, scenario: OutageScenario, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut play = Self {
+        let mut simulate = Self {
             order,
-            trouble,
+            scenario,
             requests: Vec::new(),
             events: BinaryHeap::new(),
             scheduled: 0,
-            queue: OpenQueue::new(START + POWER_GOES + trouble.outage),
-            plain: Vec::new(),
+            queue: OpenQueue::new(START + OUTAGE_START + scenario.outage),
+            waiting: Vec::new(),
             busy: 0,
-            in_vain: 0,
+            abandoned: 0,
         };
         let mut asked = START;
-        while asked.since(START) < LENGTH {
+        while asked.since(START) < ARRIVAL_PERIOD {
             asked =
-                asked + Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / trouble.load);
-            let work = trouble.work.mul_f64(0.4 + 1.2 * rng.random::<f64>());
-            play.schedule(asked, play.requests.len(), 0, Event::Try);
-            play.requests.push(Request {
+                asked + Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / scenario.load);
+            let work = scenario.work.mul_f64(0.4 + 1.2 * rng.random::<f64>());
+            simulate.schedule(asked, simulate.requests.len(), 0, Event::AttemptStarts);
+            simulate.requests.push(Request {
                 asked,
                 work,
-                tries: 0,
-                try_began: asked,
-                try_open: false,
+                attempt: 0,
+                attempt_began: asked,
+                attempt_open: false,
                 served: false,
                 answered: None,
             });
         }
-        play
+        simulate
     }
 
-    fn schedule(&mut self, at: Timestamp, n: usize, tries: u32, event: Event) {
+    fn schedule(&mut self, at: Timestamp, n: usize, attempt: u32, event: Event) {
         self.scheduled += 1;
-        self.events.push(Reverse((at, self.scheduled, n, tries, event)));
+        self.events.push(Reverse((at, self.scheduled, n, attempt, event)));
     }
 
-    fn up_at(&self) -> Timestamp {
-        START + POWER_GOES + self.trouble.outage
+    fn outage_end(&self) -> Timestamp {
+        START + OUTAGE_START + self.scenario.outage
     }
 
-    fn event(&mut self, n: usize, tries: u32, event: Event, now: Timestamp) {
+    fn event(&mut self, n: usize, attempt: u32, event: Event, now: Timestamp) {
         match event {
-            Event::Try => self.begin_try(n, now),
-            Event::Packet { copies } => self.packet(n, tries, copies, now),
-            Event::TryEnds => self.end_try(n, tries, now),
+            Event::AttemptStarts => self.begin_attempt(n, now),
+            Event::Packet { copies } => self.packet(n, attempt, copies, now),
+            Event::AttemptEnds => self.end_attempt(n, attempt, now),
             Event::Outcome { waited, opened } => {
                 self.queue.note_outcome(route(), waited, opened, now);
             }
@@ -196,105 +196,113 @@
                 self.busy -= 1;
                 self.requests[n].answered = Some(now);
             }
-            Event::Free => self.busy -= 1,
+            Event::SlotFreed => self.busy -= 1,
         }
         self.serve(now);
     }
 
-    fn begin_try(&mut self, n: usize, now: Timestamp) {
+    fn begin_attempt(&mut self, n: usize, now: Timestamp) {
         let req = &mut self.requests[n];
-        let left = (req.asked + self.trouble.timeout).since(now);
-        req.tries += 1;
-        req.try_began = now;
-        req.try_open = true;
-        let tries = req.tries;
-        let share = if tries < TRIES { left / TRIES } else { left };
-        for (copies, after) in (0..).zip(COPIES) {
-            self.schedule(now + after, n, tries, Event::Packet { copies });
+        let left = (req.asked + self.scenario.timeout).since(now);
+        req.attempt += 1;
+        req.attempt_began = now;
+        req.attempt_open = true;
+        let attempt = req.attempt;
+        let share = if attempt < MAX_ATTEMPTS { left / MAX_ATTEMPTS } else { left };
+        for (copies, after) in (0..).zip(COPY_DELAYS) {
+            self.schedule(now + after, n, attempt, Event::Packet { copies });
         }
-        self.schedule(now + share.min(LONGEST_TRY).min(left), n, tries, Event::TryEnds);
+        self.schedule(
+            now + share.min(MAX_ATTEMPT_TIMEOUT).min(left),
+            n,
+            attempt,
+            Event::AttemptEnds,
+        );
     }
 
-    fn end_try(&mut self, n: usize, tries: u32, now: Timestamp) {
+    fn end_attempt(&mut self, n: usize, attempt: u32, now: Timestamp) {
         let req = &mut self.requests[n];
-        if req.tries != tries || req.served {
+        if req.attempt != attempt || req.served {
             return;
         }
-        req.try_open = false;
-        let again = now + PAUSE;
-        if tries < TRIES && again.since(req.asked) < self.trouble.timeout {
-            self.schedule(again, n, tries, Event::Try);
+        req.attempt_open = false;
+        let again = now + RETRY_DELAY;
+        if attempt < MAX_ATTEMPTS && again.since(req.asked) < self.scenario.timeout {
+            self.schedule(again, n, attempt, Event::AttemptStarts);
         }
     }
 
-    fn packet(&mut self, n: usize, tries: u32, copies: u32, now: Timestamp) {
+    fn packet(&mut self, n: usize, attempt: u32, copies: u32, now: Timestamp) {
         let req = &self.requests[n];
-        let down = now.since(START) >= POWER_GOES && now < self.up_at();
-        if down || req.tries != tries || !req.try_open || req.served {
+        let down = now.since(START) >= OUTAGE_START && now < self.outage_end();
+        if down || req.attempt != attempt || !req.attempt_open || req.served {
             return;
         }
-        let (repeatable, timeout) = (true, self.trouble.timeout);
+        let (repeatable, timeout) = (true, self.scenario.timeout);
         let assumed = attempt_timeout::assumed(Some(timeout), repeatable);
-        let terms = WaitTerms::new(copies, self.trouble.aim / 2, now);
+        let terms = WaitTerms::new(copies, self.scenario.latency_objective / 2, now);
         let open = WaitingOpen {
-            flow: flow(n, tries),
+            flow: flow(n, attempt),
             packet: Vec::new(),
             envelope: envelope(),
             terms: terms.attempt_timeout(assumed).timeout(timeout),
         };
-        if self.order == Order::Patience {
+        if self.order == QueueOrder::Agent {
             self.queue.push(open);
-        } else if !self.plain.contains(&(n, tries)) {
-            self.plain.push((n, tries));
+        } else if !self.waiting.contains(&(n, attempt)) {
+            self.waiting.push((n, attempt));
         }
     }
 
     fn serve(&mut self, now: Timestamp) {
-        if self.order == Order::Patience {
+        if self.order == QueueOrder::Agent {
             self.queue.take_abandoned(now);
         }
-        while self.busy < self.trouble.slots {
-            let Some((n, tries)) = self.next(now) else { return };
-            self.take(n, tries, now);
+        while self.busy < self.scenario.slots {
+            let Some((n, attempt)) = self.next(now) else { return };
+            self.take(n, attempt, now);
         }
     }
 
     fn next(&mut self, now: Timestamp) -> Option<(usize, u32)> {
-        let began = |(n, _): &(usize, u32)| self.requests[*n].try_began;
-        let all = self.plain.iter().enumerate();
+        let began = |(n, _): &(usize, u32)| self.requests[*n].attempt_began;
+        let all = self.waiting.iter().enumerate();
         let next = match self.order {
-            Order::Patience => {
-                return self.queue.take(Duration::ZERO, true, now).map(|open| numbers(&open.flow));
+            QueueOrder::Agent => {
+                return self
+                    .queue
+                    .take(Duration::ZERO, true, now)
+                    .map(|open| request_and_attempt(&open.flow));
             }
-            Order::Newest => all.max_by_key(|(_, packet)| began(packet)),
-            Order::Oldest => all.min_by_key(|(_, packet)| began(packet)),
+            QueueOrder::Newest => all.max_by_key(|(_, packet)| began(packet)),
+            QueueOrder::Oldest => all.min_by_key(|(_, packet)| began(packet)),
         };
-        next.map(|(i, _)| i).map(|i| self.plain.swap_remove(i))
+        next.map(|(i, _)| i).map(|i| self.waiting.swap_remove(i))
     }
 
-    fn take(&mut self, n: usize, tries: u32, now: Timestamp) {
-        let cold = now >= self.up_at() && now.since(self.up_at()) < COLD;
+    fn take(&mut self, n: usize, attempt: u32, now: Timestamp) {
+        let cold = now >= self.outage_end() && now.since(self.outage_end()) < COLD_PERIOD;
         self.busy += 1;
         let req = &mut self.requests[n];
-        let waited = now.since(req.try_began);
-        let opened = req.tries == tries && req.try_open && !req.served;
+        let waited = now.since(req.attempt_began);
+        let opened = req.attempt == attempt && req.attempt_open && !req.served;
         if opened {
             req.served = true;
-            let work = if cold { req.work.mul_f64(self.trouble.cold) } else { req.work };
-            self.schedule(now + work, n, tries, Event::Done);
+            let work = if cold { req.work.mul_f64(self.scenario.cold) } else { req.work };
+            self.schedule(now + work, n, attempt, Event::Done);
         } else {
-            self.in_vain += 1;
-            self.schedule(now + IN_VAIN, n, tries, Event::Free);
+            self.abandoned += 1;
+            self.schedule(now + ABANDONED_HOLD, n, attempt, Event::SlotFreed);
         }
-        self.schedule(now + KNOWN_AFTER, n, tries, Event::Outcome { waited, opened });
+        self.schedule(now + OUTCOME_DELAY, n, attempt, Event::Outcome { waited, opened });
     }
 
     fn tally(&self) -> Tally {
-        let mut tally = Tally { in_vain: self.in_vain, ..Tally::default() };
+        let mut tally = Tally { abandoned: self.abandoned, ..Tally::default() };
         for req in &self.requests {
             match req.answered.map(|at| at.since(req.asked)) {
-                Some(took) if took <= self.trouble.aim => tally.in_time += 1,
-                Some(took) if took <= self.trouble.timeout => tally.late += 1,
+                Some(took) if took <= self.scenario.latency_objective => tally.in_time += 1,
+                Some(took) if took <= self.scenario.timeout => tally.late += 1,
                 _ => tally.lost += 1,
             }
         }
@@ -307,13 +315,13 @@
 }
 
 /// The flow of a try: its number stands in the caller's address and port.
-fn flow(n: usize, tries: u32) -> FlowTuple {
+fn flow(n: usize, attempt: u32) -> FlowTuple {
     let ip = 0x6440_0000 + u32::try_from(n).unwrap_or(0);
-    let port = u16::try_from(tries).unwrap_or(0);
+    let port = u16::try_from(attempt).unwrap_or(0);
     FlowTuple::new(SocketAddrV4::new(ip.into(), port), route())
 }
 
-fn numbers(flow: &FlowTuple) -> (usize, u32) {
+fn request_and_attempt(flow: &FlowTuple) -> (usize, u32) {
     let caller = flow.caller();
     let n = u32::from(*caller.ip()) - 0x6440_0000;
     (usize::try_from(n).unwrap_or(0), u32::from(caller.port()))
@@ -326,14 +334,14 @@
 
 /// The service of menus, as its users describe it, under `load` requests a second.
 #[must_use]
-pub fn menus(load: f64) -> Trouble {
-    Trouble {
+pub fn menu_service(load: f64) -> OutageScenario {
+    OutageScenario {
         load,
         slots: 28,
         work: Duration::from_millis(32),
         cold: 1.6,
         timeout: Duration::from_millis(2500),
-        aim: Duration::from_millis(150),
+        latency_objective: Duration::from_millis(150),
         outage: Duration::from_millis(1700),
     }
 }
@@ -346,18 +354,18 @@
 pub fn run(seeds: u64) -> Result<(), StandinError> {
     let mut rows = Vec::new();
     for load in [300.0, 360.0, 430.0, 480.0] {
-        for order in Order::ALL {
+        for order in QueueOrder::ALL {
             let mut sum = Tally::default();
             for seed in 1..=seeds {
-                let tally = play(order, &menus(load), seed);
+                let tally = simulate(order, &menu_service(load), seed);
                 sum.in_time += tally.in_time;
                 sum.late += tally.late;
                 sum.lost += tally.lost;
-                sum.in_vain += tally.in_vain;
+                sum.abandoned += tally.abandoned;
             }
             rows.push(json!({
                 "load": load, "order": order.to_string(), "in time": sum.in_time,
-                "late": sum.late, "lost": sum.lost, "in vain": sum.in_vain,
+                "late": sum.late, "lost": sum.lost, "in vain": sum.abandoned,
             }));
         }
     }
--- a/crates/dillmill-standins/tests/waiting_orders.rs
+++ b/crates/dillmill-standins/tests/waiting_orders.rs
@@ -1,18 +1,18 @@
 //! Compares queueing orders for waiting opening packets, in virtual time after a power failure.
 
-use dillmill_standins::waiting::{Order, Tally, menus, play};
+use dillmill_standins::waiting::{QueueOrder, Tally, menu_service, simulate};
 use rstest::rstest;
 
-fn tally(order: Order, load: f64) -> Tally {
-    play(order, &menus(load), 7)
+fn tally(order: QueueOrder, load: f64) -> Tally {
+    simulate(order, &menu_service(load), 7)
 }
 
 #[rstest]
 #[case(360.0)]
 #[case(430.0)]
 fn patience_loses_least(#[case] load: f64) {
-    let patience = tally(Order::Patience, load);
-    let newest = tally(Order::Newest, load);
+    let patience = tally(QueueOrder::Agent, load);
+    let newest = tally(QueueOrder::Newest, load);
     assert!(patience.lost * 3 < newest.lost, "{patience:?} {newest:?}");
 }
 
@@ -20,21 +20,21 @@
 /// targets work on packets of callers that have just given up.
 #[test]
 fn oldest_first_never_recovers() {
-    let oldest = tally(Order::Oldest, 480.0);
-    let patience = tally(Order::Patience, 480.0);
-    assert!(oldest.in_vain > 10 * patience.in_vain.max(1), "{oldest:?} {patience:?}");
+    let oldest = tally(QueueOrder::Oldest, 480.0);
+    let patience = tally(QueueOrder::Agent, 480.0);
+    assert!(oldest.abandoned > 10 * patience.abandoned.max(1), "{oldest:?} {patience:?}");
     assert!(oldest.lost > 3 * patience.lost, "{oldest:?} {patience:?}");
 }
 
 #[test]
 fn calm_service_is_in_time() {
-    for order in Order::ALL {
-        let trouble = dillmill_standins::waiting::Trouble {
+    for order in QueueOrder::ALL {
+        let scenario = dillmill_standins::waiting::OutageScenario {
             outage: std::time::Duration::ZERO,
             cold: 1.0,
-            ..menus(300.0)
+            ..menu_service(300.0)
         };
-        let tally = play(order, &trouble, 7);
+        let tally = simulate(order, &scenario, 7);
         assert_eq!((tally.late, tally.lost), (0, 0), "{order}: {tally:?}");
     }
 }
