--- a/crates/dillmill-standins/src/caller.rs
+++ b/crates/dillmill-standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks HTTP/3.
+//! An HTTP/3 client that makes requests and opens long feeds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,20 +22,22 @@
 type SendRequest = h3::client::SendRequest<compio::quic::h3::OpenStreams, Bytes>;
 type RequestStream = h3::client::RequestStream<compio::quic::h3::BidiStream<Bytes>, Bytes>;
 
-/// Why a call has no whole answer.
+/// Why a call did not return a complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallError {
-    /// The flow takes no more requests and did not take this one: ask on a new flow (RFC 9114
-    /// section 5.2).
+    /// The server closes the flow and did not process this request: it can be repeated on a new
+    /// flow (RFC 9114 section 5.2).
     NotProcessed,
-    /// The flow or the answer broke off.
+    /// The flow or the response ended early.
     Broken(StandinError),
 }
 
 impl From<CallError> for StandinError {
     fn from(e: CallError) -> Self {
         match e {
-            CallError::NotProcessed => Self::new("call", "the flow takes no more requests"),
+            CallError::NotProcessed => {
+                Self::new("call", "the server closes the flow and did not process the request")
+            }
             CallError::Broken(e) => e,
         }
     }
@@ -51,39 +53,39 @@
     }
 }
 
-/// A whole answer, or the part of one that came.
+/// The response to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// The header `dillmill-outcome`.
+    /// Value of the header `dillmill-outcome`.
     pub outcome: Option<String>,
-    /// The header `retry-after`, in seconds.
+    /// Value of the header `retry-after`, in seconds.
     pub retry_after: Option<u64>,
-    /// The body.
+    /// The response body, as text.
     pub body: String,
 }
 
 impl Answer {
-    /// Returns the value of `name=` in the body.
+    /// Returns the value of the first `name=value` word in the body.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&str> {
         self.body.split_whitespace().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
     }
 }
 
-/// What a caller asks.
+/// A request of a caller.
 #[derive(Debug, Clone, Default)]
 pub struct Call {
     /// Path and query.
     pub path: String,
     /// Bearer token.
     pub token: String,
-    /// Idempotency key; makes it a POST.
+    /// Idempotency key; a request with a key is a POST.
     pub key: Option<String>,
     /// Deadline in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Body; makes it a POST.
+    /// Body; a request with a body that is not empty is a POST.
     pub body: Vec<u8>,
 }
 
@@ -116,24 +118,24 @@
     }
 }
 
-/// One flow of a caller.
+/// One HTTP/3 flow of a caller.
 pub struct Caller {
     send: SendRequest,
     endpoint: Endpoint,
 }
 
-/// An open long feed.
+/// An open long feed, read line by line.
 pub struct Feed {
     stream: RequestStream,
     unread: String,
 }
 
 impl Caller {
-    /// Opens a flow to `service`, trusting `certificate` (PEM).
+    /// Opens a flow to `service` and trusts only `certificate` (PEM).
     ///
     /// # Errors
     ///
-    /// Fails when no flow can be opened.
+    /// Fails when the flow can't be opened.
     pub async fn connect(service: SocketAddr, certificate: &str) -> Result<Self, StandinError> {
         let socket = UdpSocket::bind("127.0.0.1:0").await.map_err(StandinError::at("bind"))?;
         let mut endpoint =
@@ -147,7 +149,7 @@
             .map_err(StandinError::at("handshake"))?;
         let (mut driver, send) = compio::quic::h3::client::new(connection)
             .await
-            .map_err(StandinError::at("open HTTP/3"))?;
+            .map_err(StandinError::at("open HTTP/3 connection"))?;
         compio::runtime::spawn(async move {
             let _ = poll_fn(|cx| driver.poll_close(cx)).await;
         })
@@ -155,7 +157,7 @@
         Ok(Self { send, endpoint })
     }
 
-    /// Returns another handle on this flow, for a request at the same time.
+    /// Returns another handle to this flow, for concurrent requests.
     #[must_use]
     pub fn share(&self) -> Self {
         Self { send: self.send.clone(), endpoint: self.endpoint.clone() }
@@ -189,14 +191,14 @@
         Ok(stream)
     }
 
-    /// Makes a call and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// Fails when the flow or the answer breaks off.
+    /// Fails when the server does not process the request, or the flow or the response ends early.
     pub async fn call(&mut self, call: &Call) -> Result<Answer, CallError> {
         let mut stream = self.open(call).await?;
-        let head = stream.recv_response().await.map_err(call_error("receive answer"))?;
+        let head = stream.recv_response().await.map_err(call_error("receive response"))?;
         let header = |name| head.headers().get(name).and_then(|v| v.to_str().ok());
         let outcome = header("dillmill-outcome").map(str::to_owned);
         let retry_after = header("retry-after").and_then(|v| v.parse().ok());
@@ -212,7 +214,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the flow breaks off or the answer is not 200.
+    /// Fails when the flow ends early or the response status is not 200.
     pub async fn feed(&mut self, call: &Call) -> Result<Feed, StandinError> {
         let mut stream = self.open(call).await?;
         let head = stream.recv_response().await.map_err(StandinError::at("receive feed"))?;
@@ -224,11 +226,11 @@
 }
 
 impl Feed {
-    /// Returns the next line, or `None` at the end.
+    /// Returns the next line, or `None` at the end of the feed.
     ///
     /// # Errors
     ///
-    /// Fails when the feed breaks off.
+    /// Fails when the feed ends early.
     pub async fn next(&mut self) -> Result<Option<String>, StandinError> {
         loop {
             if let Some(end) = self.unread.find('\n') {
--- a/crates/dillmill-standins/src/cluster.rs
+++ b/crates/dillmill-standins/src/cluster.rs
@@ -1,4 +1,4 @@
-//! dillmill and its surroundings as processes on loopback.
+//! Runs dillmill's programs and the stand-ins around them as processes on loopback.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -24,11 +24,11 @@
 pub use ctl_output::CtlOutput;
 pub use spec::{ClusterSpec, ServiceSpec};
 
-/// Key of the installation on loopback.
+/// Cluster key of the loopback installation.
 pub const CLUSTER_KEY: &str = "6b6579206f6620746865206c6f6f706261636b20696e7374616c6c6174696f6e";
-/// Secret of the first flow key on loopback.
+/// Secret of the first flow key of the loopback installation.
 pub const FLOW_KEY: &str = "2b7e151628aed2a6abf7158809cf4f3c";
-/// With this variable set, processes log on `debug` and their logs are kept.
+/// Environment variable: if set, processes log at level `debug` and their logs are kept.
 const KEEP_LOGS_VARIABLE: &str = "DILLMILL_KEEP_LOGS";
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
@@ -47,7 +47,7 @@
     control: Option<SocketAddr>,
 }
 
-/// A running cluster; all of its processes end when it is dropped.
+/// A running cluster. Dropping it ends all of its processes.
 pub struct Cluster {
     dir: TempDir,
     spec: ClusterSpec,
@@ -69,13 +69,13 @@
     fn drop(&mut self) {
         if std::env::var_os(KEEP_LOGS_VARIABLE).is_some() {
             self.dir.disable_cleanup(true);
-            eprintln!("logs are in {}", self.dir.path().display());
+            eprintln!("logs are kept in {}", self.dir.path().display());
         }
     }
 }
 
 impl Cluster {
-    /// Starts all processes, writes the settings and waits until everything serves.
+    /// Starts all processes, writes the settings and waits until every process is serving.
     ///
     /// # Errors
     ///
@@ -97,12 +97,12 @@
         Ok(cluster)
     }
 
-    /// Starts the platform and the fabric.
+    /// Starts the stand-ins of the platform and the fabric.
     fn start_platform_and_fabric(spec: ClusterSpec) -> Result<Self, StandinError> {
-        let dir = tempfile::tempdir().map_err(StandinError::at("make a folder"))?;
+        let dir = tempfile::tempdir().map_err(StandinError::at("create a temporary directory"))?;
         let mut subnet = Subnet::take();
         let ip = subnet.ip(1);
-        let client = Client::new().map_err(StandinError::at("make a client"))?;
+        let client = Client::new().map_err(StandinError::at("create an HTTP client"))?;
         let platform = subnet.port(ip);
         let fabric = subnet.port(ip);
         let services = spec
@@ -149,25 +149,25 @@
         }
     }
 
-    /// Returns a process.
+    /// Returns the process of a name.
     ///
     /// # Errors
     ///
-    /// Fails when there is none of this name.
+    /// Fails when no process has this name.
     pub fn process(&mut self, name: &str) -> Result<&mut Process, StandinError> {
         self.processes
             .get_mut(name)
-            .ok_or_else(|| StandinError::new("find process", format!("no {name}")))
+            .ok_or_else(|| StandinError::new("find process", format!("no process named {name}")))
     }
 
-    /// Forgets a process that has ended, so that nothing waits for it.
+    /// Removes a process that has ended, so that later steps do not wait for it.
     pub fn remove_process(&mut self, name: &str) {
         self.processes.remove(name);
         self.launches.remove(name);
         self.bind_ips.remove(name);
     }
 
-    /// Returns the names of dillmill's processes.
+    /// Returns the names of dillmill's processes, without the stand-ins.
     #[must_use]
     pub fn members(&self) -> Vec<String> {
         let launches = self.launches.iter().filter(|(_, launch)| launch.control.is_some());
@@ -178,13 +178,13 @@
     ///
     /// # Errors
     ///
-    /// Fails when there is none of this name.
+    /// Fails when no target has this name.
     pub fn target(&self, name: &str) -> Result<SocketAddr, StandinError> {
         let found = self.targets.get(name).copied();
-        found.ok_or_else(|| StandinError::new("find target", format!("no {name}")))
+        found.ok_or_else(|| StandinError::new("find target", format!("no target named {name}")))
     }
 
-    /// Returns the names of the targets, in order.
+    /// Returns the names of the targets in alphabetical order.
     #[must_use]
     pub fn target_names(&self) -> Vec<String> {
         let mut names: Vec<String> = self.targets.keys().cloned().collect();
@@ -192,16 +192,16 @@
         names
     }
 
-    /// Opens a flow of a caller to a service.
+    /// Opens a caller's flow to a service.
     ///
     /// # Errors
     ///
-    /// Fails when no flow can be opened.
+    /// Fails when the flow can't be opened.
     pub async fn caller(&self, service: &str) -> Result<Caller, StandinError> {
         Caller::connect(self.service_address(service)?, &self.certificate).await
     }
 
-    /// Returns the certificate that callers trust.
+    /// Returns the certificate that callers trust, as PEM.
     #[must_use]
     pub fn certificate(&self) -> &str {
         &self.certificate
@@ -216,27 +216,29 @@
         let found = self.services.iter().find(|s| s.name == service);
         found
             .map(|s| s.address)
-            .ok_or_else(|| StandinError::new("find service", format!("no {service}")))
+            .ok_or_else(|| StandinError::new("find service", format!("no service named {service}")))
     }
 
-    /// Returns the address of a service on one balancer.
+    /// Returns the address at which one balancer receives packets of a service.
     ///
     /// # Errors
     ///
     /// Fails when there is no such balancer or service.
     pub fn balancer_address(&self, name: &str, service: &str) -> Result<SocketAddr, StandinError> {
         let ip = self.bind_ips.get(name).copied();
-        let ip = ip.ok_or_else(|| StandinError::new("find balancer", format!("no {name}")))?;
+        let ip = ip.ok_or_else(|| {
+            StandinError::new("find balancer", format!("no balancer named {name}"))
+        })?;
         Ok(SocketAddr::new(IpAddr::V4(ip), self.service_address(service)?.port()))
     }
 
-    /// Returns the folder of logs and settings files.
+    /// Returns the directory of the logs and settings files.
     #[must_use]
     pub fn folder(&self) -> &std::path::Path {
         self.dir.path()
     }
 
-    /// Returns what a process has printed and logged.
+    /// Returns the output and log of a process; empty if no process has this name.
     #[must_use]
     pub fn log(&self, name: &str) -> String {
         self.processes.get(name).map(Process::log).unwrap_or_default()
--- a/crates/dillmill-standins/src/cluster/launching.rs
+++ b/crates/dillmill-standins/src/cluster/launching.rs
@@ -1,4 +1,4 @@
-//! Processes of a cluster, started and started again.
+//! Starts and restarts the processes of a cluster.
 
 use std::net::Ipv4Addr;
 
@@ -57,7 +57,7 @@
             self.spec.watchers,
         );
         let file = self.dir.path().join(format!("{name}.yaml"));
-        std::fs::write(&file, text).map_err(StandinError::at("write settings"))?;
+        std::fs::write(&file, text).map_err(StandinError::at("write settings file"))?;
         let args = vec![role.to_owned(), "--config".to_owned(), file.display().to_string()];
         let program = program("dillmill")?;
         let launch = LaunchCommand { program, args, admin: Some(admin), control: Some(control) };
@@ -65,22 +65,22 @@
         self.write_ctl_config(&self.peers())
     }
 
-    /// Starts one more balancer; the fabric uses it after [`Cluster::use_balancers`].
+    /// Starts one more balancer. The fabric sends packets to it only after [`Cluster::use_balancers`].
     ///
     /// # Errors
     ///
-    /// Fails when it can't be started.
+    /// Fails when the balancer can't be started.
     pub fn start_balancer(&mut self, name: &str) -> Result<(), StandinError> {
         let ip = self.next_ip();
         self.bind_ips.insert(name.to_owned(), ip);
         self.start_dillmill(name, "balancer", &format!("balancer: {{ bind: {ip} }}\n"), ip)
     }
 
-    /// Starts target `i` of a service and its agent: `S-ti` and `S-ai`.
+    /// Starts target `i` of service `S` under the name `S-ti`, and its agent as `S-ai`.
     ///
     /// # Errors
     ///
-    /// Fails when one can't be started.
+    /// Fails when the target or the agent can't be started.
     pub fn start_target_with_agent(
         &mut self,
         service: &ServiceSpec,
@@ -99,14 +99,15 @@
         self.start_dillmill(&format!("{}-a{i}", service.name), "agent", &section, ip)
     }
 
-    /// Starts a process again, with the settings that it had.
+    /// Restarts a process with its previous command line and settings file.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be started.
+    /// Fails when no process has this name or it can't be started.
     pub fn restart(&mut self, name: &str) -> Result<(), StandinError> {
         let launch = self.launches.get(name).cloned();
-        let launch = launch.ok_or_else(|| StandinError::new("restart", format!("no {name}")))?;
+        let launch = launch
+            .ok_or_else(|| StandinError::new("restart", format!("no process named {name}")))?;
         self.processes.remove(name);
         self.launch(name, launch)
     }
--- a/crates/dillmill-standins/src/cluster/queries.rs
+++ b/crates/dillmill-standins/src/cluster/queries.rs
@@ -1,4 +1,4 @@
-//! What a cluster's processes and surroundings say when they are asked.
+//! Reads status, metrics, events and counters from a cluster's processes and stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,25 +13,27 @@
 use crate::target::TargetCounts;
 
 impl Cluster {
-    /// Returns the status that a process gives.
+    /// Returns a process's status page.
     ///
     /// # Errors
     ///
-    /// Fails when it does not answer.
+    /// Fails when the process does not answer.
     pub async fn status(&self, name: &str) -> Result<ProcessStatus, StandinError> {
         self.get_json(self.admin(name)?, "/status").await
     }
 
-    /// Returns the value of a metric of a process.
+    /// Returns the value of one of a process's metrics.
     ///
     /// # Errors
     ///
-    /// Fails when it does not answer or has no such metric.
+    /// Fails when the process does not answer or has no such metric.
     pub async fn metric(&self, name: &str, metric: &str) -> Result<i64, StandinError> {
         let text = self.get_text(self.admin(name)?, "/metrics").await?;
         text.lines()
             .find_map(|line| line.strip_prefix(metric)?.strip_prefix(' ')?.parse().ok())
-            .ok_or_else(|| StandinError::new("ask metrics", format!("{name} has no {metric}")))
+            .ok_or_else(|| {
+                StandinError::new("read metrics", format!("{name} has no metric {metric}"))
+            })
     }
 
     pub(super) async fn get_text(
@@ -56,7 +58,8 @@
         path: &str,
     ) -> Result<T, StandinError> {
         let text = self.get_text(addr, path).await?;
-        serde_json::from_str(&text).map_err(StandinError::at(format!("read {path}: {text}")))
+        serde_json::from_str(&text)
+            .map_err(StandinError::at(format!("parse the response to {path}: {text}")))
     }
 
     pub(super) async fn put_json<T: Serialize>(
@@ -77,7 +80,7 @@
         Err(StandinError::new(step, answer.status()))
     }
 
-    /// Returns the calls that the platform has counted.
+    /// Returns the platform's counters of calls.
     ///
     /// # Errors
     ///
@@ -86,7 +89,7 @@
         self.get_json(self.platform, "/standin/counts").await
     }
 
-    /// Returns whether a process's time line has an event that says `what`.
+    /// Returns whether the text `what` occurs in a process's event time line.
     ///
     /// # Errors
     ///
@@ -97,10 +100,12 @@
 
     fn admin(&self, name: &str) -> Result<SocketAddr, StandinError> {
         let admin = self.launches.get(name).and_then(|launch| launch.admin);
-        admin.ok_or_else(|| StandinError::new("find the page of a process", format!("no {name}")))
+        admin.ok_or_else(|| {
+            StandinError::new("find admin address", format!("no dillmill process named {name}"))
+        })
     }
 
-    /// Returns what a target has done.
+    /// Returns the counters of a target.
     ///
     /// # Errors
     ///
--- a/crates/dillmill-standins/src/cluster/readiness.rs
+++ b/crates/dillmill-standins/src/cluster/readiness.rs
@@ -1,4 +1,4 @@
-//! Waits until a cluster serves.
+//! Waits until all processes of a cluster serve and the rings of its services have formed.
 
 use std::fmt::Write as _;
 use std::time::Instant;
@@ -7,11 +7,11 @@
 use crate::StandinError;
 
 impl Cluster {
-    /// Waits until every process serves, knows all others and has the newest settings.
+    /// Waits until every process serves, sees all others as serving and has the newest settings.
     ///
     /// # Errors
     ///
-    /// Fails when that takes longer than 30 s.
+    /// Fails after 30 s.
     pub async fn wait_ready(&self) -> Result<(), StandinError> {
         let started = Instant::now();
         loop {
@@ -21,26 +21,27 @@
             }
             if started.elapsed() > READY_TIMEOUT {
                 let what = format!("{}\n{}", problems.join("; "), self.last_logs());
-                return Err(StandinError::new("wait", what));
+                return Err(StandinError::new("wait until ready", what));
             }
             compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until the agent that began the ring of a service alone has passed its records on, for each service
-    /// with several targets.
+    /// Waits, for each service with several targets, until the agent that began the service's ring alone has
+    /// passed its records on to the other members.
     ///
     /// # Errors
     ///
-    /// Fails when that takes longer than 30 s.
+    /// Fails after 30 s.
     pub async fn wait_rings(&self) -> Result<(), StandinError> {
         let started = Instant::now();
         for service in self.spec.services.iter().filter(|service| service.targets > 1) {
             while !self.ring_formed(&service.name).await? {
                 if started.elapsed() > READY_TIMEOUT {
                     let name = &service.name;
-                    let what = format!("the ring of {name} does not form\n{}", self.last_logs());
-                    return Err(StandinError::new("wait", what));
+                    let what =
+                        format!("the ring of {name} did not form in time\n{}", self.last_logs());
+                    return Err(StandinError::new("wait until ready", what));
                 }
                 compio::time::sleep(POLL_INTERVAL).await;
             }
@@ -48,7 +49,7 @@
         Ok(())
     }
 
-    /// Returns the last lines of each process's log.
+    /// Returns the last 40 lines of each process's log.
     fn last_logs(&self) -> String {
         self.processes.values().fold(String::new(), |mut out, p| {
             let _ = writeln!(out, "--- {}\n{}", p.name(), tail(&p.log()));
@@ -73,7 +74,10 @@
         for name in members {
             match self.status(&name).await {
                 Ok(status) if status.serving != all => {
-                    problems.push(format!("{name} knows {} of {all} serving", status.serving));
+                    problems.push(format!(
+                        "{name} sees {} of {all} processes as serving",
+                        status.serving
+                    ));
                 }
                 Ok(status) => revisions.push(status.revision),
                 Err(e) => problems.push(e.to_string()),
@@ -81,7 +85,7 @@
         }
         revisions.dedup();
         if revisions.len() > 1 {
-            problems.push(format!("revisions differ: {revisions:?}"));
+            problems.push(format!("settings revisions differ: {revisions:?}"));
         }
         problems
     }
--- a/crates/dillmill-standins/src/cluster/rules.rs
+++ b/crates/dillmill-standins/src/cluster/rules.rs
@@ -1,4 +1,4 @@
-//! Faults and rules of a cluster's surroundings.
+//! Sets the faults and rules of a cluster's stand-ins.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,7 +9,7 @@
 use crate::target::TargetRules;
 
 impl Cluster {
-    /// Lets the fabric use all balancers.
+    /// Makes the fabric send packets to all balancers.
     ///
     /// # Errors
     ///
@@ -20,7 +20,7 @@
         self.use_balancers(&names).await
     }
 
-    /// Lets the fabric use these balancers only.
+    /// Makes the fabric send packets to these balancers only.
     ///
     /// # Errors
     ///
@@ -39,7 +39,7 @@
         self.put_json(self.fabric, "/standin/rules", &self.rules).await
     }
 
-    /// Changes what the fabric does with packets.
+    /// Changes how the fabric loses, duplicates, reorders and delays packets.
     ///
     /// # Errors
     ///
@@ -52,7 +52,7 @@
         self.put_json(self.fabric, "/standin/rules", &self.rules).await
     }
 
-    /// Sets the platform's faults.
+    /// Sets the faults that the platform injects.
     ///
     /// # Errors
     ///
--- a/crates/dillmill-standins/src/cluster/settings_files.rs
+++ b/crates/dillmill-standins/src/cluster/settings_files.rs
@@ -1,4 +1,4 @@
-//! Settings that a cluster begins with, and `dillmillctl`, which writes them.
+//! Writes a cluster's initial settings through `dillmillctl`, and runs `dillmillctl`.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -47,30 +47,31 @@
             self.platform,
             peers.join(", "),
         );
-        std::fs::write(self.ctl_config(), text).map_err(StandinError::at("write settings"))
+        std::fs::write(self.ctl_config(), text)
+            .map_err(StandinError::at("write dillmillctl settings"))
     }
 
     fn ctl_config(&self) -> PathBuf {
         self.dir.path().join("dillmillctl.yaml")
     }
 
-    /// Writes a node and returns what `dillmillctl` said.
+    /// Writes a settings node and returns the output of `dillmillctl`.
     ///
     /// # Errors
     ///
-    /// Fails when the edit is not accepted.
+    /// Fails when `dillmillctl` can't be run or does not accept the edit.
     pub fn set(&self, path: &str, text: &str) -> Result<String, StandinError> {
         let file = self.dir.path().join("node.yaml");
-        std::fs::write(&file, text).map_err(StandinError::at("write node"))?;
+        std::fs::write(&file, text).map_err(StandinError::at("write settings node"))?;
         let output = self.ctl(&["set", path, &file.display().to_string()])?;
         if output.code == 0 { Ok(output.out) } else { Err(StandinError::new("set", output.err)) }
     }
 
-    /// Runs `dillmillctl` to its end.
+    /// Runs `dillmillctl` and waits until it exits.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be started.
+    /// Fails when `dillmillctl` can't be started.
     pub fn ctl(&self, args: &[&str]) -> Result<CtlOutput, StandinError> {
         let output = Command::new(program("dillmillctl")?)
             .args(args)
@@ -89,7 +90,7 @@
 
 fn certificate() -> Result<(String, String), StandinError> {
     let made = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()])
-        .map_err(StandinError::at("make certificate"))?;
+        .map_err(StandinError::at("generate certificate"))?;
     Ok((made.cert.pem(), made.signing_key.serialize_pem()))
 }
 
--- a/crates/dillmill-standins/src/cluster/spec.rs
+++ b/crates/dillmill-standins/src/cluster/spec.rs
@@ -1,26 +1,26 @@
-//! What a cluster consists of.
+//! Describes the processes, services and groups of a cluster.
 
-/// A service of a cluster.
+/// A service of a cluster and its targets.
 #[derive(Debug, Clone)]
 pub struct ServiceSpec {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Targets, each with an agent.
+    /// Number of targets, each with its own agent.
     pub targets: usize,
     /// Slots of each target.
     pub slots: usize,
-    /// Further lines of the service's node.
+    /// YAML lines appended to the service's settings node.
     pub extra: String,
 }
 
 impl ServiceSpec {
-    /// Creates a service.
+    /// Creates a service without additional settings.
     #[must_use]
     pub fn new(name: &str, targets: usize, slots: usize) -> Self {
         Self { name: name.to_owned(), targets, slots, extra: String::new() }
     }
 
-    /// Adds lines to the service's node.
+    /// Sets the YAML lines that are appended to the service's settings node.
     #[must_use]
     pub fn extra(mut self, lines: &str) -> Self {
         lines.clone_into(&mut self.extra);
@@ -28,22 +28,22 @@
     }
 }
 
-/// What a cluster consists of.
+/// The processes, services and groups of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterSpec {
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: usize,
-    /// Services.
+    /// Services with their targets.
     pub services: Vec<ServiceSpec>,
     /// Groups with their weights; the token of group `g` is `token-g`.
     pub groups: Vec<(String, u16)>,
-    /// Further lines of the root node.
+    /// YAML lines appended to the root settings node.
     pub root_extra: String,
-    /// Seed of the fabric's choices.
+    /// Seed of the fabric's random choices.
     pub seed: u64,
-    /// Least level that processes log.
+    /// Minimum level of the processes' logs.
     pub log: String,
-    /// Processes that watch the platform.
+    /// Number of processes that watch the platform's store.
     pub watchers: usize,
 }
 
--- a/crates/dillmill-standins/src/command.rs
+++ b/crates/dillmill-standins/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-ins.
+//! Parses the command line of `dillmill-standins` and runs the command that it names.
 
 use std::net::SocketAddr;
 
@@ -28,42 +28,47 @@
        dillmill-standins waiting [--seeds N]
        dillmill-standins soak [--seed N] [--seeds N] [--seconds N]
 
-`demo` runs everything on loopback, asks some requests and reports. `load` runs a
-deployment of the users under open-loop load and prints one JSON result; `report`
-makes a table of several. `packets` measures a balancer against `forwarder`,
-`slopes` the decisions at the size to come, `waiting` the order of
-waiting packets in virtual time, `idle` what control
-alone costs, `flows` what open flows cost. `soak` runs packet flows on real processes
-under faults drawn from each seed, and fails when a promise is broken.";
+`demo` runs a cluster on loopback, sends some requests and prints the results. `load`
+runs one of the users' deployments under open-loop load and prints one JSON result;
+`report` prints a table of several results. `packets` compares a balancer's cost of a
+packet with that of `forwarder`. `slopes` measures the cost of decisions at the planned
+size of the installation, `waiting` compares orders of waiting packets in virtual time,
+`idle` measures the cost of the control traffic alone, `flows` the cost of open flows.
+`soak` runs packet flows on real processes under random faults of each seed, and fails
+when a guarantee is violated.";
 
-/// Runs a command line without the program's name.
+/// Runs the command of a command line, which is given without the program's name.
 ///
 /// # Errors
 ///
-/// Fails on a wrong command line and when what it runs fails.
+/// Fails when the command line is invalid or the command fails.
 pub async fn run(args: &[String]) -> Result<(), StandinError> {
     let mut opts = Options::new();
-    opts.optopt("", "listen", "address to serve", "ADDR");
+    opts.optopt("", "listen", "address to listen on", "ADDR");
     opts.optmulti("", "service", "service address or name", "ADDR|NAME");
     opts.optopt("", "name", "name of the target", "NAME");
-    opts.optopt("", "slots", "slots of the target", "N");
-    opts.optopt("", "cold-ms", "time during which a target is cold", "N");
-    opts.optopt("", "seed", "seed of random choices", "N");
-    opts.optopt("", "seeds", "number of seeds, counted from --seed", "N");
-    opts.optopt("", "balancers", "balancers", "N");
-    opts.optopt("", "flows", "flows", "N");
-    opts.optopt("", "targets", "targets", "N");
-    opts.optopt("", "changes", "changes of settings meanwhile", "N");
-    opts.optopt("", "to", "where a forwarder sends", "ADDR");
+    opts.optopt("", "slots", "number of slots of the target", "N");
+    opts.optopt("", "cold-ms", "milliseconds after its start during which a target is slow", "N");
+    opts.optopt("", "seed", "seed of the random choices", "N");
+    opts.optopt("", "seeds", "number of consecutive seeds, starting at --seed", "N");
+    opts.optopt("", "balancers", "number of balancers", "N");
+    opts.optopt("", "flows", "number of flows to open", "N");
+    opts.optopt("", "targets", "number of targets", "N");
+    opts.optopt("", "changes", "number of settings changes during the measurement", "N");
+    opts.optopt("", "to", "address that a forwarder sends to", "ADDR");
     opts.optopt("", "deployment", "kiosks or ristebud", "NAME");
-    opts.optopt("", "placement", "placement of requests", "POLICY");
+    opts.optopt("", "placement", "placement policy of requests", "POLICY");
     opts.optopt("", "load", "load as a share of the slots", "SHARE");
-    opts.optopt("", "flood", "share of the load of the first group", "SHARE");
-    opts.optopt("", "seconds", "length of a run", "N");
-    opts.optopt("", "feeds", "long feeds", "N");
-    opts.optflag("", "kill-balancer", "kill a balancer in the middle");
-    opts.optflag("", "stop-agent", "stop an agent as planned in the middle");
-    opts.optflag("", "straight", "ask the targets past dillmill: the baseline");
+    opts.optopt("", "flood", "share of the load that the first group makes", "SHARE");
+    opts.optopt("", "seconds", "duration of a run in seconds", "N");
+    opts.optopt("", "feeds", "number of long feeds", "N");
+    opts.optflag("", "kill-balancer", "kill a balancer halfway through the run");
+    opts.optflag("", "stop-agent", "stop an agent gracefully halfway through the run");
+    opts.optflag(
+        "",
+        "straight",
+        "send requests to the targets directly, without dillmill, as a baseline",
+    );
     opts.optflag("h", "help", "show this help");
     let matches = opts.parse(args).map_err(StandinError::at("read command line"))?;
     if matches.opt_present("help") {
@@ -121,7 +126,7 @@
             let targets = number(&matches, "targets", 4)?;
             Box::pin(idle::run(balancers, targets, number(&matches, "changes", 0)?)).await
         }
-        other => Err(StandinError::new("read command line", format!("no command {other:?}"))),
+        other => Err(StandinError::new("read command line", format!("unknown command {other:?}"))),
     }
 }
 
--- a/crates/dillmill-standins/src/demo.rs
+++ b/crates/dillmill-standins/src/demo.rs
@@ -1,4 +1,4 @@
-//! The main job on loopback: three balancers, two services with two targets each.
+//! Demonstrates dillmill on loopback with three balancers and two services of two targets each.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,11 +17,11 @@
     by_target: BTreeMap<String, usize>,
 }
 
-/// Runs the demonstration and prints what it saw.
+/// Runs the demonstration and prints its results.
 ///
 /// # Errors
 ///
-/// Fails when anything does not work as promised.
+/// Fails when a response is missing or comes from the wrong service, or a process fails.
 pub async fn run() -> Result<(), StandinError> {
     println!("starting: platform, fabric, 3 balancers, 2 services with 2 targets and agents each");
     let cluster = Box::pin(Cluster::start(ClusterSpec::default())).await?;
@@ -29,7 +29,7 @@
     for service in ["cotiza", "cuadre"] {
         let tally = Box::pin(ask(&cluster, service)).await?;
         println!(
-            "{service}: {} asked, {} answered whole, {} to the wrong service; by target {:?}",
+            "{service}: {} requests, {} complete responses, {} from the wrong service; by target {:?}",
             tally.asked, tally.whole, tally.wrong_service, tally.by_target,
         );
         good &= tally.asked == tally.whole && tally.wrong_service == 0;
@@ -38,7 +38,11 @@
     let packets = shares(&cluster).await?;
     println!("packets by balancer: {packets:?}");
     print!("{}", cluster.ctl(&["status"])?.out);
-    if good { Ok(()) } else { Err(StandinError::new("demo", "an answer was missing or wrong")) }
+    if good {
+        Ok(())
+    } else {
+        Err(StandinError::new("demo", "a response was missing or came from the wrong service"))
+    }
 }
 
 async fn ask(cluster: &Cluster, service: &str) -> Result<Tally, StandinError> {
--- a/crates/dillmill-standins/src/error.rs
+++ b/crates/dillmill-standins/src/error.rs
@@ -1,23 +1,23 @@
-//! Errors of the stand-ins.
+//! The error type of the stand-ins and tools.
 
 use std::fmt;
 
-/// What failed and why.
+/// A failed step and its cause.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StandinError {
-    /// What was being done.
+    /// The operation that failed.
     pub step: String,
-    /// What happened.
+    /// The cause of the failure.
     pub what: String,
 }
 
 impl StandinError {
-    /// Creates an error.
+    /// Creates an error of a step.
     pub fn new(step: impl Into<String>, what: impl fmt::Display) -> Self {
         Self { step: step.into(), what: what.to_string() }
     }
 
-    /// Creates a function that makes an error of another one.
+    /// Returns a function for `map_err` that wraps another error as the cause of a failed step.
     pub fn at<E: fmt::Display>(step: impl Into<String>) -> impl FnOnce(E) -> Self {
         let step = step.into();
         move |e| Self::new(step, e)
--- a/crates/dillmill-standins/src/fabric.rs
+++ b/crates/dillmill-standins/src/fabric.rs
@@ -1,8 +1,9 @@
-//! The fabric: hands each packet of a caller to any balancer, and answers back to the caller.
+//! Stand-in of the network fabric: sends each packet of a caller to a random balancer, and the
+//! balancers' packets back to the caller.
 //!
-//! On loopback a service's address belongs to the fabric. For each caller it opens one socket, so
-//! that a balancer sees that socket as the caller; what any balancer sends there goes to the caller
-//! from the service's address.
+//! On loopback the fabric is bound to the service addresses. It opens one socket for each caller,
+//! which is the caller's address as balancers see it. The fabric forwards every packet that a
+//! balancer sends to this socket to the caller, from the service's address.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -23,17 +24,17 @@
 
 const MAX_DATAGRAM: usize = 64 * 1024;
 
-/// What the fabric does with packets.
+/// Where the fabric sends packets, and how it loses, duplicates, reorders and delays them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FabricRules {
-    /// The balancers' addresses for each service address.
+    /// Addresses of the balancers for each service address.
     pub balancers: HashMap<SocketAddr, Vec<SocketAddr>>,
-    /// Packets lost, in thousandths.
+    /// Probability that a packet is lost, in thousandths.
     pub lose_permille: u32,
-    /// Packets delivered twice, in thousandths.
+    /// Probability that a packet is delivered twice, in thousandths.
     pub double_permille: u32,
-    /// Packets held back so that later ones overtake them, in thousandths.
+    /// Probability that a packet is delayed so that later ones overtake it, in thousandths.
     pub cross_permille: u32,
     /// Delay of each packet in each direction, in milliseconds.
     pub delay_ms: u64,
@@ -51,7 +52,7 @@
     fabric.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How many copies of a packet are sent and how long each is held back.
+/// Returns one delay for each copy of a packet to send; none if the packet is lost.
 fn copy_delays(fabric: &mut Fabric) -> Vec<Duration> {
     let Fabric { rules, rng, .. } = fabric;
     let mut happens = |permille: u32| permille > 0 && rng.random_range(0..1000) < permille;
@@ -63,7 +64,8 @@
     vec![Duration::from_millis(rules.delay_ms + reorder_delay_ms); n]
 }
 
-/// Serves the given service addresses, and its rules over HTTP on `control`, until the process ends.
+/// Forwards packets of the given service addresses, and serves the rules over HTTP on `control`,
+/// until the process ends.
 ///
 /// # Errors
 ///
--- a/crates/dillmill-standins/src/forwarder.rs
+++ b/crates/dillmill-standins/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! A bare UDP forwarder on compio: the baseline of a balancer's cost.
+//! A minimal UDP forwarder on compio: the baseline for the cost of a balancer.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 const MAX_DATAGRAM: usize = 64 * 1024;
 
-/// Forwards each datagram that comes to `listen` to `to`, until the process ends.
+/// Forwards each datagram received on `listen` to `to`, until the process ends.
 ///
 /// # Errors
 ///
--- a/crates/dillmill-standins/src/idle.rs
+++ b/crates/dillmill-standins/src/idle.rs
@@ -1,4 +1,5 @@
-//! What a process uses for control alone, in clusters of several sizes without callers.
+//! Measures what processes use for control traffic alone, in clusters of several sizes without callers,
+//! and what open flows cost.
 
 use std::time::Duration;
 
@@ -10,7 +11,8 @@
 const SETTLE_TIME: Duration = Duration::from_secs(25);
 const MEASURE_TIME: Duration = Duration::from_secs(20);
 
-/// Measures a cluster of `balancers` and `targets` and prints one JSON line.
+/// Measures a cluster of `balancers` and `targets` without callers, with `changes` settings changes, and
+/// prints one JSON line.
 ///
 /// # Errors
 ///
@@ -86,7 +88,8 @@
     Ok(process_usages)
 }
 
-/// Measures what open flows cost an agent and a balancer, and prints one JSON line.
+/// Measures memory and processor time of open flows on an agent and a balancer, and prints one JSON
+/// line.
 ///
 /// # Errors
 ///
--- a/crates/dillmill-standins/src/lib.rs
+++ b/crates/dillmill-standins/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins of the systems that dillmill serves, and tools that run and measure it.
+//! Test doubles of the systems around dillmill, and tools that run and measure dillmill.
 //!
-//! Not published. [`platform`], [`fabric`], [`target`] and [`caller`] take the place of the
-//! platform, the fabric, the targets and the callers; [`cluster`] runs them and dillmill's own
-//! programs as processes on loopback; [`flow_fleet`], [`flow_target`], [`flow_caller`] and
-//! [`flow_router`] do the same for packet flows, with faults in [`flow_soak`]; [`demo`] and [`load`] use such a cluster.
+//! This crate is not published. [`platform`], [`fabric`], [`target`] and [`caller`] replace the
+//! platform's store, the network fabric, the targets and the callers. [`cluster`] runs them and
+//! dillmill's own programs as processes on loopback; [`demo`] and [`load`] use such a cluster.
+//! [`flow_fleet`], [`flow_target`], [`flow_caller`] and [`flow_router`] do the same for packet
+//! flows, and [`flow_soak`] injects faults into them.
 
 pub mod caller;
 pub mod cluster;
--- a/crates/dillmill-standins/src/load.rs
+++ b/crates/dillmill-standins/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load on the users' deployments, with one JSON result a run.
+//! Runs the users' deployments under open-loop load, with one JSON result for each run.
 
 mod direct;
 mod generator;
@@ -21,7 +21,7 @@
 use crate::usage::Usage;
 use crate::{Cluster, ClusterSpec, ServiceSpec, StandinError};
 
-/// Delay of each packet at the fabric, each way.
+/// Delay that the fabric adds to each packet in each direction.
 const FABRIC_DELAY: Duration = Duration::from_millis(1);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 const MEAN_SERVICE_MS: f64 = 20.0;
@@ -31,7 +31,12 @@
     let (balancers, services, slots) = match spec.deployment.as_str() {
         "kiosks" => (4, [("cotiza", 7), ("cuadre", 4)], 5),
         "ristebud" => (3, [("orders", 7), ("fulfilment", 3)], 7),
-        other => return Err(StandinError::new("read deployment", format!("no {other}"))),
+        other => {
+            return Err(StandinError::new(
+                "read deployment",
+                format!("unknown deployment {other}"),
+            ));
+        }
     };
     let services = services.iter().map(|(name, n)| ServiceSpec::new(name, *n, slots)).collect();
     let groups = ["north", "south", "east"].map(|g| (g.to_owned(), 10)).to_vec();
@@ -47,7 +52,7 @@
     Ok((spec, slots))
 }
 
-/// Makes a run and returns its result.
+/// Makes one load run and returns its result.
 ///
 /// # Errors
 ///
@@ -189,7 +194,8 @@
     sum
 }
 
-/// Samples the targets until the end, and makes the run's faults in the middle.
+/// Samples the slots in use at the targets until the run ends, and injects the run's faults halfway
+/// through. Returns the mean imbalance and utilisation.
 #[expect(clippy::cast_precision_loss, reason = "a few slots")]
 async fn sample(
     cluster: &mut Cluster,
--- a/crates/dillmill-standins/src/load/direct.rs
+++ b/crates/dillmill-standins/src/load/direct.rs
@@ -7,7 +7,7 @@
 use crate::traffic::RequestOutcome;
 use crate::{Cluster, StandinError};
 
-/// Callers that ask the targets themselves.
+/// A caller that sends requests to the targets directly, without dillmill.
 #[derive(Debug, Clone)]
 pub(super) struct DirectCaller {
     client: cyper::Client,
@@ -16,15 +16,15 @@
 }
 
 impl DirectCaller {
-    /// Creates callers of the targets of `service`.
+    /// Creates a caller of the targets of `service`.
     pub(super) fn new(cluster: &Cluster, service: &str) -> Result<Self, StandinError> {
         let names = cluster.target_names().into_iter().filter(|t| t.starts_with(service));
         let targets = names.map(|name| cluster.target(&name)).collect::<Result<Vec<_>, _>>()?;
-        let client = cyper::Client::new().map_err(StandinError::at("make a client"))?;
+        let client = cyper::Client::new().map_err(StandinError::at("create an HTTP client"))?;
         Ok(Self { client, targets, next: Rc::default() })
     }
 
-    /// Asks the next target, with the delay that the fabric has in other runs.
+    /// Sends a request to the next target, after the delay that the fabric adds in other runs.
     pub(super) async fn ask(&self, call: &Call) -> RequestOutcome {
         let turn = self.next.get();
         self.next.set(turn + 1);
--- a/crates/dillmill-standins/src/load/generator.rs
+++ b/crates/dillmill-standins/src/load/generator.rs
@@ -16,7 +16,7 @@
 const FLOWS_PER_GROUP: usize = 24;
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Requests of one group at random times, on a set of flows.
+/// Sends requests of one group at random times over a fixed set of flows.
 pub(super) struct LoadGenerator {
     pub(super) service: String,
     pub(super) group: String,
@@ -30,7 +30,7 @@
 }
 
 impl LoadGenerator {
-    /// Asks until the span is over and all answers are there.
+    /// Sends requests until the span is over, then waits for the outstanding responses.
     pub(super) async fn run(self) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut flows: Vec<Option<Caller>> = Vec::new();
--- a/crates/dillmill-standins/src/load/load_spec.rs
+++ b/crates/dillmill-standins/src/load/load_spec.rs
@@ -1,27 +1,28 @@
 use serde::{Deserialize, Serialize};
 
-/// What a run consists of.
+/// Parameters of a load run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadSpec {
-    /// `kiosks` or `ristebud`.
+    /// Name of the deployment: `kiosks` or `ristebud`.
     pub deployment: String,
-    /// Placement of requests.
+    /// Placement policy of requests.
     pub placement: String,
     /// Load of the first service, as a share of its slots.
     pub load: f64,
-    /// Share of the load that one group asks for; the rest is divided among the others.
+    /// Share of the load that one group makes; the rest is divided among the other groups.
     pub flood: f64,
-    /// Seconds.
+    /// Duration in seconds.
     pub seconds: u64,
-    /// Long feeds open meanwhile.
+    /// Number of long feeds that are open during the run.
     pub feeds: usize,
     /// Seed of arrivals and service times.
     pub seed: u64,
-    /// Kill a balancer in the middle.
+    /// Kills a balancer halfway through the run.
     pub kill_balancer: bool,
-    /// Stop an agent as planned in the middle.
+    /// Stops an agent gracefully halfway through the run.
     pub stop_agent: bool,
-    /// The baseline: callers ask the targets themselves in turn, over HTTP/1.1, past dillmill.
+    /// Baseline without dillmill: callers send HTTP/1.1 requests to the targets directly, in turn.
     #[serde(default)]
+    #[serde(rename = "straight")]
     pub direct: bool,
 }
--- a/crates/dillmill-standins/src/load/measurements.rs
+++ b/crates/dillmill-standins/src/load/measurements.rs
@@ -10,7 +10,7 @@
 
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What callers of one group have seen.
+/// Waits and outcomes of the requests of one group.
 pub(super) struct GroupMeasurements {
     waits: Histogram<u64>,
     outcome_counts: OutcomeCounts,
@@ -20,18 +20,20 @@
     fn new() -> Self {
         let waits = Histogram::new(SIGNIFICANT_DIGITS);
         Self {
-            waits: waits.unwrap_or_else(|_| unreachable!("3 figures are allowed")),
+            waits: waits
+                .unwrap_or_else(|_| unreachable!("a histogram accepts 3 significant digits")),
             outcome_counts: OutcomeCounts::default(),
         }
     }
 }
 
-/// What all callers have seen, by group.
+/// Waits and outcomes of all requests, by group.
 #[derive(Clone, Default)]
 pub(super) struct MeasurementsByGroup(Rc<RefCell<BTreeMap<String, GroupMeasurements>>>);
 
 impl MeasurementsByGroup {
-    /// Takes in the end of a request and how long it has waited beyond its time at the target.
+    /// Records the outcome of a request and its wait beyond its time at the target. Only waits of
+    /// complete responses count.
     pub(super) fn record(&self, group: String, request_outcome: RequestOutcome, wait: Duration) {
         let mut groups = self.0.borrow_mut();
         let group = groups.entry(group).or_insert_with(GroupMeasurements::new);
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Writes all into the result; returns the number of requests.
+    /// Adds all measurements to the result and returns the number of requests.
     #[expect(clippy::cast_precision_loss, reason = "microseconds far below 2^52")]
     pub(super) fn write_to(&self, result: &mut LoadResult) -> u64 {
         let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
--- a/crates/dillmill-standins/src/main.rs
+++ b/crates/dillmill-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-ins, the demonstration and the load tool.
+//! Entry point of the `dillmill-standins` program: the stand-ins, the demonstration and the measuring tools.
 
 use std::process::ExitCode;
 
--- a/crates/dillmill-standins/src/packets.rs
+++ b/crates/dillmill-standins/src/packets.rs
@@ -1,4 +1,5 @@
-//! What a packet costs a balancer, against a bare forwarder in the same run.
+//! Measures the processor time that a balancer spends on a packet, and that of a minimal forwarder
+//! in the same run.
 
 use std::net::{IpAddr, SocketAddr, SocketAddrV4, UdpSocket};
 use std::sync::Arc;
@@ -23,7 +24,7 @@
     delivered: f64,
 }
 
-/// Measures and prints the costs as JSON.
+/// Measures the costs and prints them as JSON.
 ///
 /// # Errors
 ///
@@ -37,28 +38,28 @@
     let mut cluster = Box::pin(Cluster::start(spec)).await?;
     let sink = Sink::open()?;
     let SocketAddr::V4(sink_addr) = sink.addr else {
-        return Err(StandinError::new("open sink", "not IPv4"));
+        return Err(StandinError::new("open sink", "its address is not IPv4"));
     };
     let packet = packet(sink_addr)?;
     let service = cluster.balancer_address("b1", "cotiza")?;
     let balancer = cluster.process("b1")?.id();
-    let (_bare, bare_id, bare_addr) = start_forwarder(&cluster, sink.addr)?;
+    let (_forwarder, forwarder_id, forwarder_addr) = start_forwarder(&cluster, sink.addr)?;
     compio::time::sleep(Duration::from_millis(200)).await;
     let (mut balancer_costs, mut forwarder_costs) = (Vec::new(), Vec::new());
     for _ in 0..ROUNDS {
-        forwarder_costs.push(sink.measure(bare_addr, bare_id, &packet)?);
+        forwarder_costs.push(sink.measure(forwarder_addr, forwarder_id, &packet)?);
         balancer_costs.push(sink.measure(service, balancer, &packet)?);
     }
-    let (balancer_costs, forwarder_costs) = (median(balancer_costs), median(forwarder_costs));
+    let (balancer_cost, forwarder_cost) = (median(balancer_costs), median(forwarder_costs));
     let result = json!({
         "packets": PACKETS,
         "rounds": ROUNDS,
         "packet_bytes": PACKET_LEN,
-        "balancer_ns_per_packet": balancer_costs.ns_per_packet,
-        "bare_ns_per_packet": forwarder_costs.ns_per_packet,
-        "rate_against_bare": forwarder_costs.ns_per_packet / balancer_costs.ns_per_packet,
-        "balancer_delivered": balancer_costs.delivered,
-        "bare_delivered": forwarder_costs.delivered,
+        "balancer_ns_per_packet": balancer_cost.ns_per_packet,
+        "bare_ns_per_packet": forwarder_cost.ns_per_packet,
+        "rate_against_bare": forwarder_cost.ns_per_packet / balancer_cost.ns_per_packet,
+        "balancer_delivered": balancer_cost.delivered,
+        "bare_delivered": forwarder_cost.delivered,
     });
     println!("{result:#}");
     Ok(())
@@ -84,7 +85,7 @@
     Ok((process, id, listen))
 }
 
-/// A packet of an established flow whose agent is the sink.
+/// Returns a packet of an established flow whose agent is the sink.
 fn packet(sink: SocketAddrV4) -> Result<Vec<u8>, StandinError> {
     let key = FlowKey { id: 1, secret: Secret::new(FLOW_KEY) };
     let keys = FlowKeys::new(&[key]).map_err(StandinError::at("read flow key"))?;
@@ -95,7 +96,7 @@
     Ok(packet)
 }
 
-/// Counts what arrives.
+/// A socket that counts the datagrams that arrive.
 struct Sink {
     addr: SocketAddr,
     received: Arc<AtomicU64>,
@@ -125,7 +126,7 @@
             for _ in 0..BURST {
                 let _ = socket.send_to(packet, to);
             }
-            // Waits for what was sent, so that the cost is that of packets delivered.
+            // Waits for the packets of this burst, so that the measured cost is that of delivered packets.
             let goal = received + sent + BURST;
             let started = Instant::now();
             while self.received.load(Ordering::Relaxed) < goal
--- a/crates/dillmill-standins/src/platform.rs
+++ b/crates/dillmill-standins/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's store: entries with versions, transactions, leases, watches with a bounded
-//! history, and faults that tests switch on.
+//! Stand-in of the platform's store: versioned entries, transactions, leases, watches with a bounded
+//! history, and faults that tests inject.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,35 +22,35 @@
 use crate::serve::{self, pause};
 
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Changes that a watch can still be told of.
+/// Number of past changes that a watch can still return.
 const MAX_HISTORY: usize = 10_000;
-/// Entries of one page, as the platform's pages say.
+/// Maximum number of entries on one page, as the platform documents it.
 const PAGE_SIZE: usize = 500;
 
-/// Faults of the store.
+/// Faults that the store injects.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
     /// Every call fails.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// Additional delay of every call, in milliseconds.
     pub slow_ms: u64,
-    /// This many writes take effect without an answer.
+    /// Number of writes that still take effect but return an error instead of their response.
     pub lose_write_answers: u32,
-    /// Every watch is told that its history is gone, until this is switched off.
+    /// Every watch gets the response that its history is gone, until this fault is switched off.
     pub forget_history: bool,
 }
 
 /// Calls counted since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Reads and watches.
+    /// Reads and watch requests.
     pub reads: u64,
     /// Writes.
     pub writes: u64,
-    /// Watches waiting now.
+    /// Watches that are open now.
     pub watches: u64,
-    /// Renewals of leases.
+    /// Lease renewals.
     pub renewals: u64,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes away the entries of leases that have ended.
+    /// Removes leases that have ended and the entries attached to them.
     fn expire(&mut self) {
         let now = Instant::now();
         self.leases.retain(|_, (_, ends)| *ends > now);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the entries that conditions name, if one of them does not hold.
+    /// Returns the present entries of all conditions if any condition does not hold.
     fn conflict(&self, transaction: &Transaction) -> Option<Vec<Entry>> {
         let version =
             |key: &String| self.entries.get(key).map_or(Version::default(), |e| e.version);
@@ -136,7 +136,7 @@
     state
 }
 
-/// Serves the platform on `addr` until the process ends.
+/// Serves the platform's HTTP interface on `addr` until the process ends.
 ///
 /// # Errors
 ///
@@ -156,7 +156,7 @@
     serve::serve_until_exit(addr, router).await
 }
 
-/// Applies the faults that hit every call; `None` when the call goes on.
+/// Applies the faults that affect every call. Returns the error response, or `None` if the call proceeds.
 async fn apply_call_faults(store: &Shared) -> Option<Response> {
     let faults = lock(store).faults.clone();
     if faults.slow_ms > 0 {
@@ -165,7 +165,7 @@
     faults.down.then(|| StatusCode::SERVICE_UNAVAILABLE.into_response())
 }
 
-/// Answers a write, unless its answer is to be lost.
+/// Returns the response to a write, or an error if the fault of lost responses is due.
 fn write_response(state: &mut StoreState, answer: Response) -> Response {
     if state.faults.lose_write_answers > 0 {
         state.faults.lose_write_answers -= 1;
--- a/crates/dillmill-standins/src/process.rs
+++ b/crates/dillmill-standins/src/process.rs
@@ -1,4 +1,4 @@
-//! A process that a test or tool has started, and ends.
+//! Starts, signals and ends child processes of tests and tools, and reads their logs.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A started process; killed when dropped.
+/// A child process. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -17,11 +17,12 @@
     log: PathBuf,
 }
 
-/// Returns the path of a program of this workspace, beside the running one.
+/// Returns the path of a program of this workspace, in the directory of the running program or the one
+/// above it.
 ///
 /// # Errors
 ///
-/// Fails when it was not built.
+/// Fails when the program has not been built.
 pub fn program(name: &str) -> Result<PathBuf, StandinError> {
     let own = std::env::current_exe().map_err(StandinError::at("find programs"))?;
     let found = own.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.is_file());
@@ -31,11 +32,11 @@
 }
 
 impl Process {
-    /// Starts `program` with its output in a file of `dir`.
+    /// Starts `program` and appends its output to the file `name.log` in `dir`.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be started.
+    /// Fails when the process can't be started.
     pub fn spawn(
         name: &str,
         program: &Path,
@@ -45,11 +46,11 @@
         Self::spawn_with(name, program, args, &[], dir)
     }
 
-    /// As [`Process::spawn`], with variables of the environment.
+    /// Like [`Process::spawn`], with additional environment variables.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be started.
+    /// Fails when the process can't be started.
     pub fn spawn_with(
         name: &str,
         program: &Path,
@@ -76,19 +77,19 @@
         Ok(Self { name: name.to_owned(), child, log })
     }
 
-    /// Returns the process's name.
+    /// Returns the name that the process was started under.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Returns the process's number.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Returns what it has printed and logged.
+    /// Returns everything that the process has printed and logged.
     #[must_use]
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
@@ -103,49 +104,50 @@
         if status.success() { Ok(()) } else { Err(StandinError::new(step, status)) }
     }
 
-    /// Freezes it.
+    /// Suspends the process with SIGSTOP.
     ///
     /// # Errors
     ///
-    /// Fails when it is gone.
+    /// Fails when the signal can't be sent, as to a process that has ended.
     pub fn freeze(&self) -> Result<(), StandinError> {
         self.signal("STOP")
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT after [`Process::freeze`].
     ///
     /// # Errors
     ///
-    /// Fails when it is gone.
+    /// Fails when the signal can't be sent, as to a process that has ended.
     pub fn thaw(&self) -> Result<(), StandinError> {
         self.signal("CONT")
     }
 
-    /// Tells it that its settings file has changed.
+    /// Sends SIGHUP, on which the process reads its settings file again.
     ///
     /// # Errors
     ///
-    /// Fails when it is gone.
+    /// Fails when the signal can't be sent, as to a process that has ended.
     pub fn hang_up(&self) -> Result<(), StandinError> {
         self.signal("HUP")
     }
 
-    /// Asks it to stop as planned.
+    /// Asks the process to stop gracefully, with SIGTERM.
     ///
     /// # Errors
     ///
-    /// Fails when it is gone.
+    /// Fails when the signal can't be sent, as to a process that has ended.
     pub fn terminate(&self) -> Result<(), StandinError> {
         self.signal("TERM")
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits up to `limit` for its end; returns whether it ended with success.
+    /// Waits up to `limit` for the process to end. Returns whether it ended successfully, or `None` if it is
+    /// still running.
     pub async fn wait(&mut self, limit: Duration) -> Option<bool> {
         let started = Instant::now();
         while started.elapsed() < limit {
--- a/crates/dillmill-standins/src/report.rs
+++ b/crates/dillmill-standins/src/report.rs
@@ -1,15 +1,15 @@
-//! A table of several load results.
+//! Builds a Markdown table from several load results.
 
 use std::fmt::Write as _;
 
 use crate::StandinError;
 use crate::load::LoadResult;
 
-/// Reads result files and returns a Markdown table.
+/// Reads files of load results and returns a Markdown table with a row for each group.
 ///
 /// # Errors
 ///
-/// Names the file that can't be read.
+/// Fails with the name of the file that can't be read or parsed.
 pub fn table(files: &[String]) -> Result<String, StandinError> {
     let mut out = String::from(
         "| run | group | asked | whole | not run | unknown | broken | wait p50 ms | p99 ms | \
--- a/crates/dillmill-standins/src/scenario.rs
+++ b/crates/dillmill-standins/src/scenario.rs
@@ -1,7 +1,7 @@
-//! Scripted scenarios on a cluster of real processes.
+//! Runs scripted test scenarios on a cluster of real processes.
 //!
-//! A script is a golden file: steps, then the output that they must give. Steps print invariants
-//! (counts that must be zero, order, settled states), never times.
+//! A script is a golden file of steps, each with its expected output. Steps print only invariants
+//! (counts that must be zero, order, settled states) and no times.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 
 pub use step::Step;
 
-/// Runs scripts; each script has a runner of its own.
+/// Runs the steps of one script; each script needs its own runner.
 pub struct ScenarioRunner {
     runtime: Runtime,
     cluster: Option<Cluster>,
@@ -40,11 +40,11 @@
 }
 
 impl ScenarioRunner {
-    /// Creates a runner without a cluster.
+    /// Creates a runner; the script starts its cluster with [`Step::Start`].
     ///
     /// # Errors
     ///
-    /// Fails when no runtime can be made.
+    /// Fails when the async runtime can't be created.
     pub fn new() -> std::io::Result<Self> {
         Ok(Self {
             runtime: Runtime::new()?,
@@ -67,8 +67,8 @@
     }
 }
 
-fn started(cluster: Option<&mut Cluster>) -> Result<&mut Cluster, StandinError> {
-    cluster.ok_or_else(|| StandinError::new("run step", "no cluster was started"))
+fn require_cluster(cluster: Option<&mut Cluster>) -> Result<&mut Cluster, StandinError> {
+    cluster.ok_or_else(|| StandinError::new("run step", "the script has not started a cluster"))
 }
 
 impl ScenarioRunner {
@@ -76,7 +76,7 @@
         if let Step::Start { forming, .. } = step {
             return self.start(step, *forming).await;
         }
-        let cluster = started(self.cluster.as_mut())?;
+        let cluster = require_cluster(self.cluster.as_mut())?;
         match step {
             Step::Start { .. } => Ok(String::new()),
             Step::Ask { service, n, ms, group } => {
@@ -115,10 +115,9 @@
                 Ok(String::new())
             }
             Step::EndTraffic { name, some_refused } => {
-                let log = self
-                    .traffic
-                    .remove(name)
-                    .ok_or_else(|| StandinError::new("end traffic", format!("no {name}")))?;
+                let log = self.traffic.remove(name).ok_or_else(|| {
+                    StandinError::new("end traffic", format!("no traffic named {name}"))
+                })?;
                 Traffic::end(&log, cluster, *some_refused).await
             }
             Step::Settled => cluster.wait_ready().await.map(|()| "all serve\n".to_owned()),
@@ -182,7 +181,7 @@
         let Step::AskKey { service, key, ms, deadline, at_once, background } = step else {
             return Ok(String::new());
         };
-        let cluster = started(self.cluster.as_mut())?;
+        let cluster = require_cluster(self.cluster.as_mut())?;
         let path = format!("/run?service={service}&ms={}", ms.unwrap_or(1));
         let mut call = Call::new(path, "token-tellers").key(key.clone());
         call.deadline_ms = *deadline;
--- a/crates/dillmill-standins/src/scenario/step.rs
+++ b/crates/dillmill-standins/src/scenario/step.rs
@@ -1,4 +1,4 @@
-//! The steps of the test language.
+//! Defines the steps of the scenario scripts and their arguments.
 
 use goldenscript::Command;
 
@@ -7,240 +7,244 @@
 pub enum Step {
     /// Starts a cluster. Example: `start balancers=3 cotiza=2 cuadre=2`.
     Start {
-        /// Balancers.
+        /// Number of balancers; 3 by default.
         #[arg(key)]
         balancers: Option<usize>,
-        /// Targets of cotiza.
+        /// Number of targets of the service cotiza; 2 by default.
         #[arg(key)]
         cotiza: Option<usize>,
-        /// Targets of cuadre.
+        /// Number of targets of the service cuadre; 2 by default, none of the service at 0.
         #[arg(key)]
         cuadre: Option<usize>,
-        /// Slots of each target.
+        /// Number of slots of each target; 5 by default.
         #[arg(key)]
         slots: Option<usize>,
-        /// Seed of the fabric.
+        /// Seed of the fabric's random choices.
         #[arg(key)]
         seed: Option<u64>,
-        /// Go on as soon as all serve, while rings still form: the agent that began a ring alone may not have passed
-        /// its records on yet, and its loss then leaves every key unknown.
+        /// Continue as soon as all processes serve, without waiting for the rings to form. The agent that
+        /// began a ring alone may not have passed its records on yet; its loss then leaves every key
+        /// unknown.
         #[arg(key, optional)]
         forming: bool,
-        /// Processes that watch the platform.
+        /// Number of processes that watch the platform's store; 24 by default.
         #[arg(key)]
         watchers: Option<usize>,
-        /// Operation of all services, as YAML.
+        /// Fields of the setting `operation` of all services, as YAML.
         #[arg(key)]
         operation: Option<String>,
-        /// Limits of all groups, as YAML.
+        /// Fields of the setting `limits` of all groups, as YAML.
         #[arg(key)]
         limits: Option<String>,
     },
-    /// Makes requests one after the other, each on a new flow. Example: `ask cotiza 20`.
+    /// Makes requests one after another, each on a new flow, and prints their outcomes. Example:
+    /// `ask cotiza 20`.
     Ask {
         /// Service.
         service: String,
-        /// Requests.
+        /// Number of requests.
         n: usize,
-        /// Time that each takes at the target.
+        /// Time that each request takes at the target, in milliseconds.
         #[arg(key)]
         ms: Option<u64>,
-        /// Group.
+        /// Group that makes the requests; tellers by default.
         #[arg(key)]
         group: Option<String>,
     },
-    /// Makes one request with a key. Example: `ask_key cotiza k1 ms=10`.
+    /// Makes a request with an idempotency key. Example: `ask_key cotiza k1 ms=10`.
     AskKey {
         /// Service.
         service: String,
-        /// Key.
+        /// Idempotency key.
         key: String,
-        /// Time that it takes at the target.
+        /// Time that the request takes at the target, in milliseconds.
         #[arg(key)]
         ms: Option<u64>,
-        /// Deadline.
+        /// Deadline in milliseconds.
         #[arg(key)]
         deadline: Option<u64>,
-        /// Requests with this key at once, each on its own flow.
+        /// Number of concurrent requests with this key, each on its own flow; 1 by default.
         #[arg(key)]
         at_once: Option<usize>,
-        /// Print only whether the answer is true: whole, not run, or unknown.
+        /// Continue without waiting for the outcomes; the step `background` prints them.
         #[arg(key)]
         background: Option<bool>,
     },
-    /// Prints how often a key ran, over all targets of a service.
+    /// Prints how often requests with a key ran at all targets of a service together.
     Runs {
         /// Service.
         service: String,
-        /// Key.
+        /// Idempotency key.
         key: String,
     },
-    /// Makes many requests at once in the background. Example: `flood cotiza 300 group=screens ms=20`.
+    /// Makes many concurrent requests in the background. Example: `flood cotiza 300 group=screens ms=20`.
     Flood {
         /// Service.
         service: String,
-        /// Requests.
+        /// Number of requests.
         n: usize,
-        /// Group.
+        /// Group that makes the requests.
         #[arg(key)]
         group: String,
-        /// Time that each takes at the target.
+        /// Time that each request takes at the target, in milliseconds.
         #[arg(key)]
         ms: u64,
     },
-    /// Waits for the end of the flood and prints what became of it.
+    /// Waits until all requests of the flood have ended and prints their outcomes.
     EndFlood,
     /// Opens a long feed. Example: `feed f1 cotiza`.
     Feed {
-        /// Name.
+        /// Name of the feed.
         name: String,
         /// Service.
         service: String,
     },
     /// Ends a feed by closing its caller's flow.
     CloseFeed(String),
-    /// Prints the state of all feeds once each got some more ticks, or did not in time.
+    /// Prints the state of all feeds as soon as each has ended or received 3 more ticks, or at the
+    /// time limit.
     Feeds {
-        /// Longest wait, in milliseconds.
+        /// Time limit in milliseconds; 20 s by default.
         #[arg(key)]
         within: Option<u64>,
     },
-    /// Starts traffic with keys in the background. Example: `traffic t1 cotiza every=10`.
+    /// Starts background traffic whose requests have idempotency keys. Example:
+    /// `traffic t1 cotiza every=10`.
     Traffic {
-        /// Name.
+        /// Name of the traffic.
         name: String,
         /// Service.
         service: String,
-        /// Milliseconds between requests.
+        /// Mean time between requests in milliseconds; 10 by default.
         #[arg(key)]
         every: Option<u64>,
-        /// Time that each takes at the target.
+        /// Time that each request takes at the target, in milliseconds.
         #[arg(key)]
         ms: Option<u64>,
     },
-    /// Ends background traffic and prints what became of it.
+    /// Ends background traffic and prints the outcomes of its requests.
     EndTraffic {
-        /// Name.
+        /// Name of the traffic.
         name: String,
-        /// Print that some requests may be told "not run" or "unknown".
+        /// Leave out the counts of requests that were broken, not run, unknown or refused, as some may be.
         #[arg(key, optional)]
         some_refused: bool,
     },
-    /// Ends the agent whose target is running a request. Example: `kill_running cotiza`.
+    /// Kills the agent whose target is running a request. Example: `kill_running cotiza`.
     KillRunning(String),
-    /// Ends the agent that was alone in the ring of its service at first. Example: `kill_first cotiza`.
+    /// Kills the agent that began the ring of its service alone. Example: `kill_first cotiza`.
     KillFirst(String),
-    /// Ends the agent whose target is running a request and starts it again at once.
+    /// Kills the agent whose target is running a request and restarts it at once.
     RestartRunning(String),
-    /// Freezes the agent whose target is running a request.
+    /// Suspends the agent whose target is running a request.
     FreezeRunning(String),
-    /// Lets the agent that was frozen last go on.
+    /// Resumes the agent that [`Step::FreezeRunning`] suspended last.
     ThawLast,
-    /// Prints what became of the requests made in the background.
+    /// Waits for the requests made in the background and prints their outcomes.
     Background,
-    /// Ends a process without warning.
+    /// Kills a process.
     Kill(String),
-    /// Freezes a process.
+    /// Suspends a process.
     Freeze(String),
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process.
     Thaw(String),
-    /// Stops a process as planned and waits for its end.
+    /// Asks a process to stop gracefully, and waits until it ends.
     Stop(String),
-    /// Waits for the end of a process that was asked to stop.
+    /// Waits until a process that was asked to stop ends.
     Wait(String),
-    /// Asks a process to stop as planned and goes on.
+    /// Asks a process to stop gracefully, and continues without waiting.
     Terminate(String),
-    /// Starts a process again.
+    /// Restarts a process.
     Restart(String),
-    /// Adds a balancer.
+    /// Starts one more balancer.
     AddBalancer(String),
-    /// Adds a target and its agent. Example: `add_target cotiza 3`.
+    /// Starts one more target and its agent. Example: `add_target cotiza 3`.
     AddTarget(String, usize),
-    /// Lets the fabric use only these balancers.
+    /// Makes the fabric send packets to these balancers only.
     Use(Vec<String>),
-    /// Sets what the fabric does to packets, in thousandths.
+    /// Sets the probabilities, in thousandths, with which the fabric disturbs packets, and its delay.
     Fabric {
-        /// Lost.
+        /// Probability that a packet is lost.
         #[arg(key, optional)]
         lose: u32,
-        /// Delivered twice.
+        /// Probability that a packet is delivered twice.
         #[arg(key, optional)]
         double: u32,
-        /// Overtaken.
+        /// Probability that a packet is overtaken by later ones.
         #[arg(key, optional)]
         cross: u32,
-        /// Delay in milliseconds.
+        /// Delay of each packet in each direction, in milliseconds.
         #[arg(key, optional)]
         delay: u64,
     },
-    /// Sets the platform's faults.
+    /// Sets the faults that the platform injects.
     Platform {
         /// Every call fails.
         #[arg(key, optional)]
         down: bool,
-        /// Every call takes this much longer.
+        /// Additional delay of every call, in milliseconds.
         #[arg(key, optional)]
         slow: u64,
-        /// Writes that take effect without an answer.
+        /// Number of writes that take effect but whose responses are lost.
         #[arg(key, optional)]
         lose: u32,
     },
     /// Sets how a target behaves.
     Target {
-        /// Name.
+        /// Name of the target.
         name: String,
-        /// Slots.
+        /// Number of slots; 5 by default.
         #[arg(key)]
         slots: Option<usize>,
-        /// It sheds everything.
+        /// The target refuses all new work.
         #[arg(key, optional)]
         draining: bool,
-        /// Its answers break off.
+        /// The target's responses end early.
         #[arg(key, optional)]
         broken: bool,
     },
-    /// Writes a node. Example: `set groups/new "tokens: []"`.
+    /// Writes a settings node. Example: `set groups/new "tokens: []"`.
     Set {
-        /// Node.
+        /// Path of the node.
         path: String,
-        /// YAML.
+        /// Text of the node, as YAML.
         text: String,
     },
-    /// Writes a node with a long comment. Example: `set_long groups/new "tokens: []" 20000`.
+    /// Writes a settings node with a long comment. Example: `set_long groups/new "tokens: []" 20000`.
     SetLong {
-        /// Node.
+        /// Path of the node.
         path: String,
-        /// YAML.
+        /// Text of the node, as YAML.
         text: String,
         /// Length of the comment, in bytes.
         bytes: usize,
     },
     /// Runs `dillmillctl` and prints its exit code and output.
     Ctl(Vec<String>),
-    /// Waits until the newest revision is in force everywhere.
+    /// Waits until the newest settings revision is in force on all processes.
     InForce,
-    /// Waits until every process serves and knows all others.
+    /// Waits until every process serves, sees all others as serving and has the newest settings.
     Settled,
-    /// Waits until no process takes new work for an agent. Example: `left cotiza-a1`.
+    /// Waits until no other process gives new work to an agent. Example: `left cotiza-a1`.
     Left(String),
-    /// Lets time pass. Example: `pause 200`.
+    /// Waits for a number of milliseconds. Example: `pause 200`.
     Pause(u64),
-    /// Prints whether a target's slots were ever overrun.
+    /// Prints how many requests targets shed, and how many targets ever ran more than 5 requests at once.
     Slots,
-    /// Prints whether any target got a request of another service.
+    /// Prints how many requests arrived at a target of another service.
     WrongService,
     /// Prints whether a counter of a process is above zero.
     Counted {
-        /// Process.
+        /// Name of the process.
         name: String,
-        /// Metric.
+        /// Name of the metric.
         metric: String,
     },
     /// Sends packets with foreign and forged connection ids to a service.
     Forge {
         /// Service.
         service: String,
-        /// Packets.
+        /// Number of packets.
         n: usize,
     },
 }
--- a/crates/dillmill-standins/src/scenario/steps.rs
+++ b/crates/dillmill-standins/src/scenario/steps.rs
@@ -1,4 +1,4 @@
-//! What single steps do to a cluster and find in it.
+//! Implements single scenario steps: they change a cluster or inspect its state.
 
 use std::fmt::Write as _;
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
     if cuadre != &Some(0) {
         services.push(ServiceSpec::new("cuadre", cuadre.unwrap_or(2), slots));
     }
-    // Tests don't wait for slow starts unless they say so.
+    // Without a warm-up by default, so that only scenarios that set one wait for it.
     let operation = operation.as_deref().unwrap_or("warm_up: 0ms");
     let mut root_extra = format!("operation: {{ {operation} }}\n");
     if let Some(limits) = limits {
@@ -84,7 +84,7 @@
     Ok(requests)
 }
 
-/// Steps that change processes, settings or faults.
+/// Runs a step that changes processes, settings or faults.
 pub(super) async fn apply_change(
     cluster: &mut Cluster,
     step: &Step,
@@ -99,9 +99,9 @@
         Step::Terminate(name) => cluster.process(name)?.terminate()?,
         Step::Stop(name) => {
             cluster.process(name)?.terminate()?;
-            return ended(cluster, name).await;
+            return wait_for_exit(cluster, name).await;
         }
-        Step::Wait(name) => return ended(cluster, name).await,
+        Step::Wait(name) => return wait_for_exit(cluster, name).await,
         Step::Restart(name) => cluster.restart(name)?,
         Step::AddBalancer(name) => cluster.start_balancer(name)?,
         Step::AddTarget(service, i) => {
@@ -155,7 +155,10 @@
     Ok(String::new())
 }
 
-pub(super) async fn ended(cluster: &mut Cluster, name: &str) -> Result<String, StandinError> {
+pub(super) async fn wait_for_exit(
+    cluster: &mut Cluster,
+    name: &str,
+) -> Result<String, StandinError> {
     let ended = cluster.process(name)?.wait(STOP_TIMEOUT).await;
     cluster.remove_process(name);
     Ok(match ended {
@@ -165,7 +168,7 @@
     })
 }
 
-/// Replaces addresses, which differ from run to run.
+/// Replaces loopback addresses, which differ from run to run, by `ADDRESS`.
 pub(super) fn without_addresses(text: &str) -> String {
     let mut out = String::new();
     for word in text.split_inclusive(|c: char| c.is_whitespace()) {
@@ -190,7 +193,7 @@
     })
 }
 
-/// Returns the agent beside the target that runs a request.
+/// Waits until a target of the service runs a request, and returns the agent of that target.
 pub(super) async fn running_agent(
     cluster: &Cluster,
     service: &str,
@@ -204,10 +207,10 @@
         }
         compio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(StandinError::new("find the running target", "none runs anything"))
+    Err(StandinError::new("find the running target", "no target of the service runs a request"))
 }
 
-/// Returns the agent that began the ring of a service.
+/// Returns the agent that began the ring of a service, by its event of epoch 1.
 pub(super) async fn first_agent(cluster: &Cluster, service: &str) -> Result<String, StandinError> {
     let begins = format!("ring of {service} has epoch 1\"");
     for name in cluster.members().into_iter().filter(|name| name.starts_with(service)) {
@@ -215,10 +218,10 @@
             return Ok(name);
         }
     }
-    Err(StandinError::new("find the first agent", "no agent has begun the ring"))
+    Err(StandinError::new("find the first agent", "no agent has logged epoch 1 of the ring"))
 }
 
-/// Waits until only the given agent itself takes it for serving, or nobody does.
+/// Waits until no process except the given agent itself counts that agent as serving.
 pub(super) async fn wait_until_left(
     cluster: &Cluster,
     agent: &str,
@@ -275,7 +278,7 @@
         compio::net::UdpSocket::bind("127.0.0.1:0").await.map_err(StandinError::at("bind"))?;
     let mut rng = rand::rngs::SmallRng::seed_from_u64(5);
     for _ in 0..n {
-        // A short header, a connection id under key 1 with random content, and noise.
+        // A short header, a connection id of flow key 1 with random content, and random bytes.
         let mut packet = vec![0_u8; 60];
         rng.fill(&mut packet[..]);
         packet[0] = 0x40;
--- a/crates/dillmill-standins/src/serve.rs
+++ b/crates/dillmill-standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! What the HTTP stand-ins have in common.
+//! Runs HTTP servers and sleeps in their handlers, for all HTTP stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,8 @@
     cyper_axum::serve(listener, router).await.map_err(StandinError::at(format!("serve {addr}")))
 }
 
-/// Sleeps in a handler: axum wants `Send` futures, and everything here runs on one thread.
+/// Sleeps in a request handler. Axum requires `Send` futures; the wrapper is sound because a stand-in runs
+/// everything on one thread.
 pub async fn pause(span: Duration) {
     SendWrapper::new(compio::time::sleep(span)).await;
 }
--- a/crates/dillmill-standins/src/slopes.rs
+++ b/crates/dillmill-standins/src/slopes.rs
@@ -1,4 +1,4 @@
-//! What the decisions cost at the size to come, measured on the decisions themselves.
+//! Measures the cost of the decision code at the planned size of the installation, by calling it directly.
 
 use std::hint::black_box;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -58,11 +58,11 @@
     })
 }
 
-/// Measures and prints all slopes as JSON.
+/// Measures all costs and prints them as JSON.
 ///
 /// # Errors
 ///
-/// Fails when a made-up input is refused.
+/// Fails when a generated input is refused.
 pub fn run() -> Result<(), StandinError> {
     let result = json!({
         "routing": routing()?,
@@ -112,7 +112,7 @@
     }
     let fill = started.elapsed();
     let memory = crate::usage::Usage::of(std::process::id()).memory.saturating_sub(before);
-    // Lets the fresh records go, as after a join.
+    // Sends out the new records first, as after a join.
     while view.tick(now, &mut |n| n / 2).len() > 8 {}
     let mut at = now;
     let tick = mean_time(200, |_| {
@@ -155,7 +155,7 @@
     let path = |text: String| text.parse::<NodePath>().map_err(StandinError::at("path"));
     let root = format!("flow_keys: [{{ id: 1, secret: \"{FLOW_KEY}\" }}]\n");
     tree = tree.with(NodePath::Root, Some(root));
-    // A certificate and key of the usual size: what counts here is their length.
+    // A certificate and key of the usual size; only their length matters here.
     let pem = |kind: &str, lines| {
         format!(
             "    -----BEGIN {kind}-----\n{}    -----END {kind}-----\n",
@@ -233,7 +233,8 @@
     Ok(json!(rows))
 }
 
-/// Compares ways of sharing slots in virtual time: one group floods, another asks now and then.
+/// Compares ways of sharing slots in virtual time: one group floods while another makes a request now and
+/// then.
 fn sharing() -> Result<Value, StandinError> {
     let mut rows = Vec::new();
     for (name, sharing) in [("fair", Sharing::Fair), ("arrival-order", Sharing::ArrivalOrder)] {
@@ -253,7 +254,7 @@
     Ok(json!(rows))
 }
 
-/// Returns the waits of the small group over 60 s of a target with 5 slots and runs of 20 ms.
+/// Returns the waits of the small group's requests over 60 s at a target with 5 slots and runs of 20 ms.
 fn virtual_waits(sharing: Sharing, flooded: bool) -> Result<Vec<Duration>, StandinError> {
     const RUN: Duration = Duration::from_millis(20);
     let small: GroupName = "small".parse().map_err(StandinError::at("name"))?;
--- a/crates/dillmill-standins/src/target.rs
+++ b/crates/dillmill-standins/src/target.rs
@@ -1,4 +1,5 @@
-//! A target: slots, cold start, shedding, draining, deadlines, cancellation, and pages that lag.
+//! Stand-in of a target: an HTTP server with slots, cold start, load shedding, draining, cancellation and a
+//! load page that may be wrong.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,19 +20,19 @@
 use crate::StandinError;
 use crate::serve::{self, pause};
 
-/// How a target behaves.
+/// Configurable behaviour of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetRules {
-    /// Requests that it runs at once; it sheds the rest.
+    /// Number of requests that the target runs at once; it sheds the rest.
     pub slots: usize,
-    /// It refuses all new work with 503.
+    /// The target refuses all new work with 503.
     pub draining: bool,
-    /// For this long after its start, each run takes three times as long.
+    /// Time after the target's start during which each run takes three times as long.
     pub cold_ms: u64,
-    /// What its load page says, whatever the truth.
+    /// Load that the load page reports, whatever the real load is.
     pub claimed_load: usize,
-    /// Runs break off after their effect, without an answer.
+    /// Responses end early, after the run has taken effect.
     pub break_answers: bool,
 }
 
@@ -41,26 +42,26 @@
     }
 }
 
-/// What a target has done.
+/// Counters of a target.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetCounts {
-    /// Runs begun.
+    /// Runs started.
     pub runs: u64,
-    /// Runs begun, by idempotency key.
+    /// Runs started, by idempotency key.
     pub keys: BTreeMap<String, u64>,
-    /// Runs begun, by group.
+    /// Runs started, by group.
     pub groups: BTreeMap<String, u64>,
-    /// Requests shed.
+    /// Requests refused with 503.
     pub shed: u64,
-    /// Runs whose caller went away.
+    /// Runs whose caller disconnected before their end.
     pub cancelled: u64,
-    /// Most runs at once.
+    /// Maximum number of concurrent runs.
     pub most_at_once: usize,
-    /// Runs now.
+    /// Runs in progress.
     pub running: usize,
-    /// Feeds now.
+    /// Open feeds.
     pub feeds: usize,
-    /// Requests for another service.
+    /// Requests that were meant for another service.
     pub wrong_service: u64,
 }
 
@@ -120,7 +121,7 @@
     serve::serve_until_exit(addr, router).await
 }
 
-/// Counts a run as cancelled unless it ended.
+/// A run in progress. When dropped before the run has ended, the run counts as cancelled.
 struct RunGuard {
     target: Shared,
     ended: bool,
@@ -191,13 +192,16 @@
         "x".repeat(query.size),
     );
     if target.rules.break_answers {
-        let parts = [Ok(Bytes::from("part")), Err(std::io::Error::other("told to break off"))];
+        let parts = [
+            Ok(Bytes::from("part")),
+            Err(std::io::Error::other("response cut off by the target's rules")),
+        ];
         return Body::from_stream(stream::iter(parts)).into_response();
     }
     answer.into_response()
 }
 
-/// Counts an open feed.
+/// An open feed, counted until it is dropped.
 struct FeedGuard(Shared);
 
 impl Drop for FeedGuard {
--- a/crates/dillmill-standins/src/traffic.rs
+++ b/crates/dillmill-standins/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Requests and feeds in the background, and what became of them.
+//! Makes requests and follows feeds in the background, and records their outcomes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,42 +13,42 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 const REQUESTS_PER_FLOW: u64 = 4;
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer of the right service.
+    /// A complete response of the right service.
     Whole,
-    /// Told that it was not run.
+    /// A response that the request was not run.
     NotRun,
-    /// Told that nobody knows.
+    /// A response that it is unknown whether the request ran.
     Unknown,
-    /// An answer of another service.
+    /// A response of another service.
     WrongService,
-    /// Another refusal.
+    /// A refusal with another status.
     Refused(u16),
-    /// No answer, or only part of one.
+    /// No response, or an incomplete one.
     Broken,
 }
 
-/// Counts of verdicts.
+/// Numbers of requests by outcome.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Whole answers.
+    /// Complete responses of the right service.
     pub whole: usize,
-    /// Told "not run".
+    /// Responses that the request was not run.
     pub not_run: usize,
-    /// Told "unknown".
+    /// Responses that it is unknown whether the request ran.
     pub unknown: usize,
-    /// Answers of another service.
+    /// Responses of another service.
     pub wrong_service: usize,
-    /// Other refusals by status.
+    /// Other refusals, by status.
     pub refused: BTreeMap<u16, usize>,
-    /// No or partial answers.
+    /// Missing or incomplete responses.
     pub broken: usize,
 }
 
 impl OutcomeCounts {
-    /// Counts one more.
+    /// Counts one more request with this outcome.
     pub fn add(&mut self, request_outcome: RequestOutcome) {
         match request_outcome {
             RequestOutcome::Whole => self.whole += 1,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Makes a call on a new flow.
+/// Makes a call on a new flow, and again on another one each time the flow does not process it.
 pub async fn call_on_new_flow(
     service: SocketAddr,
     certificate: &str,
@@ -100,14 +100,14 @@
     compio::time::timeout(CALL_TIMEOUT, work).await.ok().flatten().unwrap_or(RequestOutcome::Broken)
 }
 
-/// Makes a call on an open flow; `None` if the caller has to move to another.
+/// Makes a call on an open flow; `None` if the flow did not process it and the caller has to use another.
 pub async fn call_on_flow(caller: &mut Caller, name: &str, call: &Call) -> Option<RequestOutcome> {
     let answer = match caller.call(call).await {
         Ok(answer) => answer,
         Err(CallError::NotProcessed) => return None,
         Err(CallError::Broken(e)) => {
-            // Shown by a test that fails.
-            eprintln!("call of {name} broke off: {e}");
+            // The test harness shows this output for tests that fail.
+            eprintln!("call to {name} ended without a complete response: {e}");
             return Some(RequestOutcome::Broken);
         }
     };
@@ -120,14 +120,14 @@
     })
 }
 
-/// What a long feed has seen.
+/// Progress of a long feed.
 #[derive(Debug, Default)]
 pub struct FeedLog {
-    /// Ticks in order.
+    /// Number of ticks received in order.
     pub ticks: u64,
-    /// Why it ended, if it did.
+    /// Why the feed ended, if it did.
     pub ended: Option<String>,
-    /// Its caller is to go away.
+    /// Tells the background task to close the caller's flow.
     pub close: bool,
 }
 
@@ -135,7 +135,7 @@
 ///
 /// # Errors
 ///
-/// Fails when it can't be opened.
+/// Fails when the feed can't be opened.
 pub async fn feed(
     cluster: &Cluster,
     service: &str,
@@ -173,7 +173,7 @@
     Ok(log)
 }
 
-/// Returns how often a key ran, over all targets of a service.
+/// Returns how often requests with a key ran at all targets of a service together.
 ///
 /// # Errors
 ///
@@ -188,7 +188,7 @@
     Ok(runs)
 }
 
-/// Requests with keys that are made in the background.
+/// Background requests with idempotency keys, and their outcomes.
 #[derive(Debug, Default)]
 pub struct Traffic {
     service: String,
@@ -197,7 +197,7 @@
     running: usize,
 }
 
-/// Starts requests with keys at a steady rate, several on each flow.
+/// Starts requests with idempotency keys at a steady rate, several on each flow.
 ///
 /// # Errors
 ///
@@ -246,7 +246,7 @@
             loop {
                 if caller.is_none() {
                     let opened = Caller::connect(address, &certificate).await;
-                    let opened = opened.inspect_err(|e| eprintln!("flow not opened: {e}"));
+                    let opened = opened.inspect_err(|e| eprintln!("failed to open a flow: {e}"));
                     caller = Some(opened.ok()?);
                 }
                 match call_on_flow(caller.as_mut()?, &service, &call).await {
@@ -262,7 +262,8 @@
 }
 
 impl Traffic {
-    /// Ends traffic, waits for what is under way, and holds the verdicts against the targets.
+    /// Stops the traffic, waits for the requests in progress, and checks their outcomes against the
+    /// runs that the targets have counted.
     ///
     /// # Errors
     ///
--- a/crates/dillmill-standins/src/usage.rs
+++ b/crates/dillmill-standins/src/usage.rs
@@ -1,14 +1,14 @@
-//! Processor time and memory of a process, as Linux counts them.
+//! Reads the processor time and memory of a process from Linux's `/proc`.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Ticks per second of the times in `/proc` (`sysconf(_SC_CLK_TCK)`, 100 on Linux).
+/// Clock ticks per second of the times in `/proc` (`sysconf(_SC_CLK_TCK)`, 100 on Linux).
 const TICKS_PER_SECOND: u64 = 100;
 const KIB: u64 = 1024;
 
-/// What a process has used.
+/// Processor time and memory that a process has used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Processor time, in milliseconds.
@@ -18,11 +18,11 @@
 }
 
 impl Usage {
-    /// Reads the usage of process `id`; zero if it is gone.
+    /// Reads the usage of process `id`; zero if the process has ended.
     #[must_use]
     pub fn of(id: u32) -> Self {
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-        // Fields after the name in brackets: user and system time are the 12th and 13th.
+        // Of the fields after the process name in brackets, the 12th and 13th are user and system time.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
         let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
--- a/crates/dillmill-standins/src/waiting.rs
+++ b/crates/dillmill-standins/src/waiting.rs
@@ -1,8 +1,9 @@
-//! Compares orders of waiting opening packets in virtual time, on the types that decide.
+//! Compares orders of serving waiting opening packets, in a simulation in virtual time that uses the
+//! queue and timeout types of the agents.
 //!
-//! One queue stands before all slots of a service. Everything loses power for a while: no opening packet gets
-//! through, and those of the time before are repeated by their callers. Callers try as was observed on the wire
-//! (docs/QUESTIONS.md).
+//! The simulation has one queue for all slots of a service. A power failure stops everything for a
+//! while: no opening packet gets through, and callers retransmit those that they sent before. The
+//! callers' attempts and copies follow what was observed on the wire (docs/QUESTIONS.md).
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -21,30 +22,31 @@
 use crate::StandinError;
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
-/// Copies of an opening packet come after these times.
+/// Times after the start of an attempt at which the caller sends the copies of its opening packet.
 const COPY_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(200), Duration::from_millis(600)];
-/// A try ends at the latest after this time without an answer.
+/// Upper limit of the time after which an attempt without a response ends.
 const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1400);
 const MAX_ATTEMPTS: u32 = 3;
-/// Pause of a caller between two tries.
+/// Time that a caller waits between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// A slot is kept free this long for a caller that does not open its flow.
+/// Time for which a slot is held for a caller that does not open its flow.
 const ABANDONED_HOLD: Duration = Duration::from_millis(30);
-/// When it is known that a caller has not opened its flow.
+/// Time after which it is known whether a caller has opened its flow.
 const OUTCOME_DELAY: Duration = Duration::from_millis(100);
-/// When the power goes, and how long callers go on asking.
+/// Time at which the power fails.
 const OUTAGE_START: Duration = Duration::from_secs(1);
+/// Time during which new requests arrive.
 const ARRIVAL_PERIOD: Duration = Duration::from_secs(8);
-/// Targets are slow for this long after their start.
+/// Time after their start during which targets are slow.
 const COLD_PERIOD: Duration = Duration::from_secs(2);
 
-/// Which packet is taken next.
+/// The order in which waiting packets are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// As agents decide.
+    /// The order of the agents' queue ([`OpenQueue`]).
     Agent,
-    /// The newest first, whoever else waits.
+    /// The newest first, however long others have waited.
     Newest,
     /// The oldest first.
     Oldest,
@@ -65,35 +67,35 @@
     }
 }
 
-/// The load of a service and the trouble that it meets.
+/// The load of a service and the outage that it goes through.
 #[derive(Debug, Clone, Copy)]
 pub struct OutageScenario {
-    /// Requests a second.
+    /// Requests per second.
     pub load: f64,
-    /// Slots of all targets.
+    /// Number of slots of all targets together.
     pub slots: u32,
-    /// Mean time of a request's work.
+    /// Mean service time of a request.
     pub work: Duration,
-    /// How much slower targets are when they have just started.
+    /// Factor by which targets are slower just after their start.
     pub cold: f64,
-    /// Time-out of a request.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time within which an answer is of full use.
+    /// Latency objective: a response within this time is of full use.
     pub latency_objective: Duration,
-    /// How long nothing gets through.
+    /// Duration of the outage, in which no packet gets through.
     pub outage: Duration,
 }
 
-/// What became of the requests.
+/// Numbers of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Answered within the aim.
+    /// Requests answered within the latency objective.
     pub in_time: u32,
-    /// Answered later.
+    /// Requests answered later, but before the timeout.
     pub late: u32,
-    /// Not answered before the time-out.
+    /// Requests not answered before the timeout.
     pub lost: u32,
-    /// Packets taken whose callers had gone.
+    /// Packets taken from the queue whose callers had already abandoned the attempt.
     pub abandoned: u32,
 }
 
@@ -118,14 +120,14 @@
     answered: Option<Timestamp>,
 }
 
-/// Plays one trouble with one order.
+/// Simulates an outage with one order and returns the outcomes.
 #[must_use]
 pub fn simulate(order: QueueOrder, scenario: &OutageScenario, seed: u64) -> Tally {
-    let mut simulate = Simulation::new(order, *scenario, seed);
-    while let Some(Reverse((now, _, n, attempt, event))) = simulate.events.pop() {
-        simulate.event(n, attempt, event, now);
+    let mut simulation = Simulation::new(order, *scenario, seed);
+    while let Some(Reverse((now, _, n, attempt, event))) = simulation.events.pop() {
+        simulation.event(n, attempt, event, now);
     }
-    simulate.tally()
+    simulation.tally()
 }
 
 type Entry = Reverse<(Timestamp, u64, usize, u32, Event)>;
@@ -145,7 +147,7 @@
 impl Simulation {
     fn new(order: QueueOrder, scenario: OutageScenario, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut simulate = Self {
+        let mut simulation = Self {
             order,
             scenario,
             requests: Vec::new(),
@@ -161,8 +163,8 @@
             asked =
                 asked + Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / scenario.load);
             let work = scenario.work.mul_f64(0.4 + 1.2 * rng.random::<f64>());
-            simulate.schedule(asked, simulate.requests.len(), 0, Event::AttemptStarts);
-            simulate.requests.push(Request {
+            simulation.schedule(asked, simulation.requests.len(), 0, Event::AttemptStarts);
+            simulation.requests.push(Request {
                 asked,
                 work,
                 attempt: 0,
@@ -172,7 +174,7 @@
                 answered: None,
             });
         }
-        simulate
+        simulation
     }
 
     fn schedule(&mut self, at: Timestamp, n: usize, attempt: u32, event: Event) {
@@ -314,7 +316,8 @@
     SocketAddrV4::new([198, 18, 0, 1].into(), 443)
 }
 
-/// The flow of a try: its number stands in the caller's address and port.
+/// Returns the flow of an attempt: the caller's address holds the number of the request, its port that of
+/// the attempt.
 fn flow(n: usize, attempt: u32) -> FlowTuple {
     let ip = 0x6440_0000 + u32::try_from(n).unwrap_or(0);
     let port = u16::try_from(attempt).unwrap_or(0);
@@ -332,7 +335,7 @@
     Envelope { service: ServiceTag(1), revision: Revision(1), origin: route(), purpose }
 }
 
-/// The service of menus, as its users describe it, under `load` requests a second.
+/// Returns the scenario of the menu service as its users describe it, at `load` requests per second.
 #[must_use]
 pub fn menu_service(load: f64) -> OutageScenario {
     OutageScenario {
@@ -346,11 +349,11 @@
     }
 }
 
-/// Prints a table over loads and orders, summed over `seeds` seeds.
+/// Prints one JSON line for each load and order, with the outcomes summed over `seeds` seeds.
 ///
 /// # Errors
 ///
-/// Fails when the table can't be written.
+/// Fails when a line can't be serialised.
 pub fn run(seeds: u64) -> Result<(), StandinError> {
     let mut rows = Vec::new();
     for load in [300.0, 360.0, 430.0, 480.0] {
