--- a/crates/dillmill-core/tests/target_outcomes.rs
+++ b/crates/dillmill-core/tests/target_outcomes.rs
@@ -1,4 +1,4 @@
-//! When a target that breaks requests off is set aside.
+//! Tests when a target that aborts requests is ejected, and for how long.
 
 use std::time::Duration;
 
@@ -11,61 +11,61 @@
     START + Duration::from_millis(ms)
 }
 
-fn failed(outcomes: &mut Outcomes, times: u32, now: Timestamp) {
+fn fail(outcomes: &mut Outcomes, times: u32, now: Timestamp) {
     for _ in 0..times {
         outcomes.request_reset(now);
     }
 }
 
 #[test]
-fn one_witness_is_not_enough() {
+fn two_failures_not_enough() {
     let mut outcomes = Outcomes::default();
-    failed(&mut outcomes, 2, START);
+    fail(&mut outcomes, 2, START);
     assert!(!outcomes.failing(START));
     outcomes.answer();
-    failed(&mut outcomes, 2, START);
-    assert!(!outcomes.failing(START), "an answer lies between");
-    failed(&mut outcomes, 1, START);
+    fail(&mut outcomes, 2, START);
+    assert!(!outcomes.failing(START), "an answer came in between");
+    fail(&mut outcomes, 1, START);
     assert!(outcomes.failing(START));
 }
 
 #[test]
-fn next_request_tells() {
+fn next_failure_doubles_ejection() {
     let mut outcomes = Outcomes::default();
-    failed(&mut outcomes, 3, START);
+    fail(&mut outcomes, 3, START);
     assert!(outcomes.failing(at(499)));
     assert!(!outcomes.failing(at(500)));
-    failed(&mut outcomes, 1, at(510));
+    fail(&mut outcomes, 1, at(510));
     assert!(outcomes.failing(at(1500)), "twice as long");
     assert!(!outcomes.failing(at(1510)));
     outcomes.answer();
-    failed(&mut outcomes, 2, at(1600));
+    fail(&mut outcomes, 2, at(1600));
     assert!(!outcomes.failing(at(1600)));
 }
 
-/// What was given to it before it was set aside says nothing new.
+/// Failures of requests that were given to a target before its ejection do not lengthen the ejection.
 #[test]
-fn earlier_flows_do_not_lengthen_the_rest() {
+fn earlier_flows_keep_ejection_time() {
     let mut outcomes = Outcomes::default();
-    failed(&mut outcomes, 30, START);
+    fail(&mut outcomes, 30, START);
     assert!(!outcomes.failing(at(500)));
 }
 
 #[test]
-fn sound_target_starts_anew() {
+fn recovery_resets_ejection() {
     let mut outcomes = Outcomes::default();
     for ms in [0, 500, 1500, 3500] {
-        failed(&mut outcomes, 3, at(ms));
+        fail(&mut outcomes, 3, at(ms));
     }
     assert!(outcomes.failing(at(5400)), "two seconds at most");
     for _ in 0..8 {
         outcomes.answer();
     }
-    failed(&mut outcomes, 3, at(6000));
+    fail(&mut outcomes, 3, at(6000));
     assert!(!outcomes.failing(at(6500)));
 }
 
-/// As many requests without an answer as the target has slots show that it answers none.
+/// As many overdue requests as the target has slots, three at most, show that it answers none.
 #[test]
 fn all_slots_overdue() {
     for (slots, needed) in [(1, 1), (2, 2), (3, 3), (7, 3)] {
@@ -78,9 +78,9 @@
     }
 }
 
-/// A row of answers out of line counts like requests broken off, with its own length.
+/// Consecutive outlier answers count like aborted requests, with a threshold of their own.
 #[test]
-fn odd_answers_in_a_row() {
+fn consecutive_outliers_fail() {
     let mut outcomes = Outcomes::default();
     for _ in 0..4 {
         outcomes.outlier_answer(5, START);
@@ -89,7 +89,7 @@
     for _ in 0..4 {
         outcomes.outlier_answer(5, START);
     }
-    assert!(!outcomes.failing(START), "a usual one lies between");
+    assert!(!outcomes.failing(START), "a usual answer came in between");
     outcomes.outlier_answer(5, START);
     assert!(outcomes.failing(START));
 }
--- a/crates/dillmill-core/tests/target_restarts.rs
+++ b/crates/dillmill-core/tests/target_restarts.rs
@@ -1,4 +1,4 @@
-//! What an agent keeps of a target that has started again.
+//! Tests which state an agent keeps when its target restarts.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 const ROUTE: &str = "198.18.0.1:443";
 const START: Timestamp = Timestamp::from_millis(1_000_000);
-const EVERY: Duration = Duration::from_millis(1200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 const TARGET_SEQ: u32 = 5000;
 
 fn ms(n: u64) -> Duration {
@@ -41,22 +41,22 @@
     Segment { ack: TARGET_SEQ + 1, len: 100, ..segment(port, SegmentKind::Data) }
 }
 
-struct World {
+struct AgentUnderTest {
     gate: FlowGate,
     agents: AgentTable,
     routes: RouteTable,
 }
 
-impl World {
+impl AgentUnderTest {
     fn arrives(&mut self, seg: &Segment, purpose: PacketPurpose, now: Timestamp) -> Verdict {
-        let known =
+        let context =
             GateContext { agents: &self.agents, routes: &self.routes, settled: true, told: true };
         let envelope =
             Envelope { service: orders(), revision: Revision(1), origin: addr(9, 1), purpose };
-        self.gate.arrived(seg, &envelope, known, now)
+        self.gate.arrived(seg, &envelope, context, now)
     }
 
-    /// Has a caller open a flow and ask on it.
+    /// Has a caller open a flow and send a request on it.
     fn open(&mut self, port: u16, now: Timestamp) {
         let opening = segment(port, SegmentKind::Open { copies: 0 });
         self.arrives(&opening, PacketPurpose::Place { passed: Vec::new() }, now);
@@ -67,80 +67,92 @@
     }
 }
 
-/// An agent whose target has just spoken for the first time.
+/// An agent whose target has just sent its first heartbeat.
 #[fixture]
-fn world() -> World {
+fn agent() -> AgentUnderTest {
     let entry = RouteEntry { shares: vec![(orders(), Weight(1))], ..RouteEntry::default() };
     let routes = RouteTable::new(Revision(1), [(ROUTE.parse().unwrap(), entry)]);
-    let mut gate =
-        FlowGate::new(ProcessId(1), addr(1, 7001), orders(), START).heartbeat_every(EVERY);
+    let mut gate = FlowGate::new(ProcessId(1), addr(1, 7001), orders(), START)
+        .heartbeat_every(HEARTBEAT_INTERVAL);
     gate.new_target(orders(), Predecessor::None, START);
     gate.set_standing(TargetStanding::Ready, 2);
-    World { gate, agents: AgentTable::default(), routes }
+    AgentUnderTest { gate, agents: AgentTable::default(), routes }
 }
 
-/// Flows of the run before end at once; the new run may have taken the last ones before it spoke.
+/// Flows of the previous run end at once, except the last ones, which the new run may have taken before
+/// its first heartbeat.
 #[rstest]
-fn flows_end_with_their_run(mut world: World) {
-    world.open(1, START);
-    let lived = START + EVERY * 2;
-    world.open(2, lived + ms(100));
-    let change = world.gate.new_target(orders(), Predecessor::Ended { lived }, lived + EVERY);
+fn flows_end_with_their_run(mut agent: AgentUnderTest) {
+    agent.open(1, START);
+    let lived = START + HEARTBEAT_INTERVAL * 2;
+    agent.open(2, lived + ms(100));
+    let change =
+        agent.gate.new_target(orders(), Predecessor::Ended { lived }, lived + HEARTBEAT_INTERVAL);
     let ended = EndedFlow { flow: flow(1), caller_expects: TARGET_SEQ + 1 };
     assert_eq!((change.ended, change.in_doubt), (vec![ended], vec![flow(2)]));
-    assert_eq!(world.gate.load(lived + EVERY).flows, 1, "what has ended is no load");
+    assert_eq!(
+        agent.gate.load(lived + HEARTBEAT_INTERVAL).flows,
+        1,
+        "ended flows do not count as load"
+    );
 }
 
-/// Where it is not certain that the run before has ended, its flows are asked about and nothing else.
+/// If it is uncertain whether the previous run has ended, none of its flows ends; the target is only
+/// asked about them.
 #[rstest]
-fn nothing_ends_unsure(mut world: World) {
-    world.open(1, START);
-    let change = world.gate.new_target(orders(), Predecessor::Unsure, START + EVERY * 5);
+fn unsure_predecessor_ends_nothing(mut agent: AgentUnderTest) {
+    agent.open(1, START);
+    let change =
+        agent.gate.new_target(orders(), Predecessor::Unsure, START + HEARTBEAT_INTERVAL * 5);
     assert_eq!((change.ended, change.in_doubt), (Vec::new(), vec![flow(1)]));
 }
 
-/// An answer that the run before had on the way reaches its caller, and opens no flow here.
+/// An answer that the previous run had sent before it ended still reaches its caller, but opens no flow
+/// at the agent.
 #[rstest]
-fn late_answer_opens_nothing(mut world: World) {
-    world.open(1, START);
-    let lived = START + EVERY * 2;
-    world.gate.new_target(orders(), Predecessor::Ended { lived }, lived + EVERY);
+fn late_answer_opens_nothing(mut agent: AgentUnderTest) {
+    agent.open(1, START);
+    let lived = START + HEARTBEAT_INTERVAL * 2;
+    agent.gate.new_target(orders(), Predecessor::Ended { lived }, lived + HEARTBEAT_INTERVAL);
     let answer = Segment { seq: TARGET_SEQ + 1, len: 300, ..segment(1, SegmentKind::Data) };
-    let noted = world.gate.answered(&answer, lived + EVERY);
+    let noted = agent.gate.answered(&answer, lived + HEARTBEAT_INTERVAL);
     assert_eq!((noted.record, noted.stray_reset), (None, false));
-    assert_eq!(world.gate.load(lived + EVERY).flows, 0);
+    assert_eq!(agent.gate.load(lived + HEARTBEAT_INTERVAL).flows, 0);
 }
 
-/// The new run is neither slow nor failing nor cold because the run before was.
+/// A new run must not count as slow, failing or cold because the previous run was.
 #[rstest]
-fn learned_of_the_run_before(mut world: World) {
+fn new_run_starts_fresh(mut agent: AgentUnderTest) {
     let slow = ms(900);
     let mut now = START;
     for port in 1..=20 {
-        world.open(port, now);
+        agent.open(port, now);
         now = now + slow;
         let answer = Segment { seq: TARGET_SEQ + 1, len: 300, ..segment(port, SegmentKind::Data) };
-        world.gate.answered(&answer, now);
+        agent.gate.answered(&answer, now);
     }
-    world.gate.set_cold_rate(Some(1));
-    world.gate.set_cold(ms(9000), now);
-    world.open(30, now);
-    let slow_pace = world.gate.pace(now);
-    let lived = now + EVERY;
-    world.gate.new_target(orders(), Predecessor::Ended { lived }, lived + EVERY);
-    let pace = world.gate.pace(lived + EVERY);
+    agent.gate.set_cold_rate(Some(1));
+    agent.gate.set_cold(ms(9000), now);
+    agent.open(30, now);
+    let slow_pace = agent.gate.pace(now);
+    let lived = now + HEARTBEAT_INTERVAL;
+    agent.gate.new_target(orders(), Predecessor::Ended { lived }, lived + HEARTBEAT_INTERVAL);
+    let pace = agent.gate.pace(lived + HEARTBEAT_INTERVAL);
     assert!(pace.work * 4 < slow_pace.work, "{pace:?} after {slow_pace:?}");
-    assert_eq!(pace.cold, None, "until it says so itself");
-    assert!(!world.gate.target_silent(lived + EVERY * 9), "owes no answer of the run before");
+    assert_eq!(pace.cold, None, "cold only once the new run reports it");
+    assert!(
+        !agent.gate.target_silent(lived + HEARTBEAT_INTERVAL * 9),
+        "answers that the previous run still owed do not count"
+    );
 }
 
-/// A caller that takes the port of an ended flow again is given to the new run.
+/// A caller that reuses the port of an ended flow gets a flow at the new run.
 #[rstest]
-fn port_taken_again(mut world: World) {
-    world.open(1, START);
-    let lived = START + EVERY * 2;
-    let now = lived + EVERY;
-    world.gate.new_target(orders(), Predecessor::Ended { lived }, now);
-    world.open(1, now);
-    assert_eq!(world.gate.load(now).flows, 1);
+fn port_reused(mut agent: AgentUnderTest) {
+    agent.open(1, START);
+    let lived = START + HEARTBEAT_INTERVAL * 2;
+    let now = lived + HEARTBEAT_INTERVAL;
+    agent.gate.new_target(orders(), Predecessor::Ended { lived }, now);
+    agent.open(1, now);
+    assert_eq!(agent.gate.load(now).flows, 1);
 }
--- a/crates/dillmill-core/tests/target_runs.rs
+++ b/crates/dillmill-core/tests/target_runs.rs
@@ -1,4 +1,4 @@
-//! Which run of a target a heartbeat speaks for.
+//! Tests which run of a target a heartbeat is attributed to.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-const EVERY: Duration = Duration::from_millis(1200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 const NOW: Timestamp = Timestamp::from_millis(1_000_000);
 
 fn at(ms: u64) -> Timestamp {
     NOW + Duration::from_millis(ms)
 }
 
-/// A run that does not tell when it started.
-fn untold(id: &str) -> TargetRun {
+/// Returns a run that does not report its start time.
+fn undated(id: &str) -> TargetRun {
     TargetRun::new(id)
 }
 
@@ -24,74 +24,81 @@
     TargetRun::new(id).started(StartTime(started))
 }
 
-/// Runs `a` up to heartbeat 7 and then `b` up to heartbeat `last`.
+/// Feeds heartbeat 7 of run `a`, then the heartbeats of run `b` up to `last`. Returns the state and
+/// the time of the last heartbeat in milliseconds.
 fn replaced(last: u64) -> (TargetRuns, u64) {
-    let mut runs = TargetRuns::new(EVERY);
-    assert_eq!(runs.heartbeat(&untold("a"), 7, at(0)), HeartbeatOutcome::NewRun(Predecessor::None));
+    let mut runs = TargetRuns::new(HEARTBEAT_INTERVAL);
+    assert_eq!(
+        runs.heartbeat(&undated("a"), 7, at(0)),
+        HeartbeatOutcome::NewRun(Predecessor::None)
+    );
     let mut ms = 4000;
     assert_eq!(
-        runs.heartbeat(&untold("b"), 1, at(ms)),
+        runs.heartbeat(&undated("b"), 1, at(ms)),
         HeartbeatOutcome::NewRun(Predecessor::Unsure)
     );
     for number in 2..=last {
         ms += 1200;
-        assert_eq!(runs.heartbeat(&untold("b"), number, at(ms)), HeartbeatOutcome::Current);
+        assert_eq!(runs.heartbeat(&undated("b"), number, at(ms)), HeartbeatOutcome::Current);
     }
     (runs, ms)
 }
 
-/// Heartbeats of the earlier run that a cut held back arrive together, whenever and in whatever order.
+/// Heartbeats of the earlier run that a network partition has delayed arrive together, at any time and
+/// in any order. They must not bring that run back.
 #[rstest]
 fn earlier_run_never_returns(
     #[values(1, 2, 5)] last: u64,
     #[values(1, 900, 2900, 6000)] after: u64,
     #[values([8, 9, 10], [10, 8, 9], [9, 10, 8], [7, 7, 12])] numbers: [u64; 3],
-    #[values(0, 30, 200)] apart: u64,
+    #[values(0, 30, 200)] spacing: u64,
 ) {
     let (mut runs, mut ms) = replaced(last);
     ms += after;
     for number in numbers {
         assert_eq!(
-            runs.heartbeat(&untold("a"), number, at(ms)),
+            runs.heartbeat(&undated("a"), number, at(ms)),
             HeartbeatOutcome::Late,
             "{number}"
         );
-        ms += apart;
+        ms += spacing;
     }
-    assert_eq!(runs.heartbeat(&untold("b"), last + 1, at(ms)), HeartbeatOutcome::Current);
+    assert_eq!(runs.heartbeat(&undated("b"), last + 1, at(ms)), HeartbeatOutcome::Current);
 }
 
-/// The agent has started again meanwhile and has not heard of the earlier run.
+/// A late heartbeat of an earlier run arrives at an agent that has restarted and does not know that run.
 #[test]
 fn unknown_earlier_run_is_late() {
-    let mut runs = TargetRuns::new(EVERY);
-    runs.heartbeat(&untold("b"), 3, at(0));
-    assert_eq!(runs.heartbeat(&untold("a"), 9, at(700)), HeartbeatOutcome::Late);
-    assert_eq!(runs.heartbeat(&untold("b"), 4, at(1200)), HeartbeatOutcome::Current);
+    let mut runs = TargetRuns::new(HEARTBEAT_INTERVAL);
+    runs.heartbeat(&undated("b"), 3, at(0));
+    assert_eq!(runs.heartbeat(&undated("a"), 9, at(700)), HeartbeatOutcome::Late);
+    assert_eq!(runs.heartbeat(&undated("b"), 4, at(1200)), HeartbeatOutcome::Current);
 }
 
-/// The late heartbeat is the first that a started agent hears; the living run takes its place at once.
+/// The first heartbeat that a restarted agent receives is a late one of an earlier run. The live run
+/// replaces that run at once.
 #[test]
-fn late_one_first() {
-    let mut runs = TargetRuns::new(EVERY);
-    runs.heartbeat(&untold("a"), 9, at(0));
+fn late_heartbeat_first() {
+    let mut runs = TargetRuns::new(HEARTBEAT_INTERVAL);
+    runs.heartbeat(&undated("a"), 9, at(0));
     assert_eq!(
-        runs.heartbeat(&untold("b"), 2, at(300)),
+        runs.heartbeat(&undated("b"), 2, at(300)),
         HeartbeatOutcome::NewRun(Predecessor::Unsure)
     );
-    assert_eq!(runs.heartbeat(&untold("a"), 10, at(400)), HeartbeatOutcome::Late);
+    assert_eq!(runs.heartbeat(&undated("a"), 10, at(400)), HeartbeatOutcome::Late);
 }
 
-/// A run that was taken for over by mistake comes back, as it goes on at the pace of a living one.
+/// A live run that was mistaken for an ended one becomes current again, because its heartbeats keep
+/// coming at the pace of a live run.
 #[test]
-fn living_run_returns() {
+fn live_run_returns() {
     let (mut runs, ms) = replaced(2);
     assert_eq!(
-        runs.heartbeat(&untold("c"), 1, at(ms + 10)),
+        runs.heartbeat(&undated("c"), 1, at(ms + 10)),
         HeartbeatOutcome::NewRun(Predecessor::Unsure)
     );
     let heard: Vec<HeartbeatOutcome> =
-        (1..=4).map(|n| runs.heartbeat(&untold("b"), 2 + n, at(ms + n * 1200))).collect();
+        (1..=4).map(|n| runs.heartbeat(&undated("b"), 2 + n, at(ms + n * 1200))).collect();
     assert_eq!(
         heard,
         [
@@ -106,14 +113,15 @@
 #[test]
 fn own_late_heartbeat_ignored() {
     let (mut runs, ms) = replaced(4);
-    assert_eq!(runs.heartbeat(&untold("b"), 3, at(ms + 5)), HeartbeatOutcome::Late);
-    assert!(runs.is_current(&untold("b")) && !runs.is_current(&untold("a")));
+    assert_eq!(runs.heartbeat(&undated("b"), 3, at(ms + 5)), HeartbeatOutcome::Late);
+    assert!(runs.is_current(&undated("b")) && !runs.is_current(&undated("a")));
 }
 
-/// A target starts again under its old id: its numbers begin anew, and are not late.
+/// A target restarts under the same id and numbers its heartbeats from 1 again. These must not be
+/// taken for late ones.
 #[test]
-fn old_id_new_run() {
-    let mut runs = TargetRuns::new(EVERY);
+fn reused_id_new_run() {
+    let mut runs = TargetRuns::new(HEARTBEAT_INTERVAL);
     assert_eq!(
         runs.heartbeat(&run("a", 100), 40, at(0)),
         HeartbeatOutcome::NewRun(Predecessor::None)
@@ -123,80 +131,82 @@
     assert_eq!(
         runs.heartbeat(&run("a", 100), 41, at(950)),
         HeartbeatOutcome::Late,
-        "of the run before"
+        "from the previous run"
     );
     assert_eq!(runs.heartbeat(&run("a", 900), 2, at(2100)), HeartbeatOutcome::Current);
-    assert_eq!(runs.heartbeat(&run("a", 900), 2, at(2110)), HeartbeatOutcome::Late, "twice");
+    assert_eq!(runs.heartbeat(&run("a", 900), 2, at(2110)), HeartbeatOutcome::Late, "a duplicate");
 }
 
-/// The clock was put back before the target started again.
+/// The clock was set back before the target restarted, so the live run has the earlier start time.
 #[test]
-fn earlier_start_of_living_run() {
-    let mut runs = TargetRuns::new(EVERY);
+fn clock_set_back() {
+    let mut runs = TargetRuns::new(HEARTBEAT_INTERVAL);
     runs.heartbeat(&run("a", 5000), 9, at(0));
     let heard: Vec<HeartbeatOutcome> =
         (1..=4).map(|n| runs.heartbeat(&run("a", 3000), n, at(1000 + n * 1200))).collect();
-    assert_eq!(heard[0], HeartbeatOutcome::Late, "may be a late word of an earlier run");
+    assert_eq!(heard[0], HeartbeatOutcome::Late, "may be a late heartbeat of an earlier run");
     assert!(heard.contains(&HeartbeatOutcome::NewRun(Predecessor::Unsure)), "{heard:?}");
     assert_eq!(heard[3], HeartbeatOutcome::Current);
 }
 
-/// At a target that tells its start, whoever does not tell is somebody else.
+/// If the current run reports its start time, a heartbeat without one is from another run.
 #[test]
-fn silent_on_start_is_late() {
-    let mut runs = TargetRuns::new(EVERY);
+fn undated_run_is_late() {
+    let mut runs = TargetRuns::new(HEARTBEAT_INTERVAL);
     runs.heartbeat(&run("a", 100), 3, at(0));
-    assert_eq!(runs.heartbeat(&untold("a"), 1, at(10)), HeartbeatOutcome::Late);
-    assert_eq!(runs.heartbeat(&untold("b"), 1, at(20)), HeartbeatOutcome::Late);
+    assert_eq!(runs.heartbeat(&undated("a"), 1, at(10)), HeartbeatOutcome::Late);
+    assert_eq!(runs.heartbeat(&undated("b"), 1, at(20)), HeartbeatOutcome::Late);
     assert!(runs.is_current(&run("a", 100)));
 }
 
-/// Whose last word ends the current run.
+/// Only some messages that a run is ending may end the current run: one without a start time may be
+/// from an earlier run with the same id.
 #[rstest]
 #[case::its_own(Some(200), false, true)]
 #[case::of_the_run_before(Some(100), true, false)]
 #[case::of_either_run(None, false, false)]
 #[case::of_either_after_an_announcement(None, true, true)]
-fn last_words(#[case] started: Option<u64>, #[case] announced: bool, #[case] ends: bool) {
-    let mut runs = TargetRuns::new(EVERY);
+fn end_messages(#[case] started: Option<u64>, #[case] announced: bool, #[case] ends: bool) {
+    let mut runs = TargetRuns::new(HEARTBEAT_INTERVAL);
     runs.heartbeat(&run("a", 100), 3, at(0));
     runs.heartbeat(&run("a", 200), 1, at(900));
-    let word = TargetRun::new("a").started(started.map(StartTime));
-    assert_eq!(runs.may_end(&word, announced), ends);
+    let ending = TargetRun::new("a").started(started.map(StartTime));
+    assert_eq!(runs.may_end(&ending, announced), ends);
 }
 
-/// A run of a target in a history.
+/// A run of a target in a generated history.
 #[derive(Debug, Clone)]
-struct Life {
+struct RunSpec {
     old_id: bool,
-    /// How far the clock is off while it starts.
+    /// Error of the clock when the run starts.
     clock_ms: i64,
     heartbeats: u64,
-    /// Dark between the run before and this one.
-    dark_ms: u64,
+    /// Time without a target between the previous run and this one.
+    gap_ms: u64,
 }
 
-fn life(clock: std::ops::Range<i64>) -> impl Strategy<Value = Life> {
+fn run_spec(clock: std::ops::Range<i64>) -> impl Strategy<Value = RunSpec> {
     (any::<bool>(), clock, 1..9_u64, 100..4000_u64).prop_map(
-        |(old_id, clock_ms, heartbeats, dark_ms)| Life { old_id, clock_ms, heartbeats, dark_ms },
+        |(old_id, clock_ms, heartbeats, gap_ms)| RunSpec { old_id, clock_ms, heartbeats, gap_ms },
     )
 }
 
-/// Times in which heartbeats are held up until the end of each.
-fn cuts() -> impl Strategy<Value = Vec<(u64, u64)>> {
+/// Generates periods, as start and length, in which heartbeats are held back until the period ends.
+fn delays() -> impl Strategy<Value = Vec<(u64, u64)>> {
     prop::collection::vec((0..30_000_u64, 1..6000_u64), 0..4)
 }
 
-/// What arrives, in order: when, of which run (counted from 0), its name and the number.
-fn arrivals(lives: &[Life], cuts: &[(u64, u64)]) -> Vec<(u64, usize, TargetRun, u64)> {
+/// Returns the heartbeats in order of arrival: time, index of the run, identity of the run and number
+/// of the heartbeat.
+fn arrivals(run_specs: &[RunSpec], delays: &[(u64, u64)]) -> Vec<(u64, usize, TargetRun, u64)> {
     let mut all = Vec::new();
     let mut ms = 0;
-    for (i, life) in lives.iter().enumerate() {
-        ms += life.dark_ms;
-        let born = (10_000_000 + ms).checked_add_signed(life.clock_ms).unwrap();
-        let id = if life.old_id { "i-0".to_owned() } else { format!("i-{i}") };
-        for number in 1..=life.heartbeats {
-            let held = cuts.iter().filter(|(from, len)| (*from..from + len).contains(&ms));
+    for (i, run_spec) in run_specs.iter().enumerate() {
+        ms += run_spec.gap_ms;
+        let born = (10_000_000 + ms).checked_add_signed(run_spec.clock_ms).unwrap();
+        let id = if run_spec.old_id { "i-0".to_owned() } else { format!("i-{i}") };
+        for number in 1..=run_spec.heartbeats {
+            let held = delays.iter().filter(|(from, len)| (*from..from + len).contains(&ms));
             let arrives = held.map(|(from, len)| from + len).max().unwrap_or(ms);
             all.push((arrives, i, run(&id, born), number));
             ms += 1200;
@@ -206,7 +216,7 @@
     all
 }
 
-/// The same cases in each run.
+/// Returns a configuration with a fixed seed, so that every test run has the same cases.
 fn config() -> ProptestConfig {
     ProptestConfig { rng_seed: RngSeed::Fixed(11), cases: 3000, ..ProptestConfig::default() }
 }
@@ -214,19 +224,19 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// With clocks that go on, no run takes the place of a later one, and each number counts once.
+    /// As long as clocks do not jump, no run replaces a later one, and each heartbeat number counts once.
     #[test]
     fn runs_in_order(
-        lives in prop::collection::vec(life(0..1), 1..5),
-        cuts in cuts(),
+        run_specs in prop::collection::vec(run_spec(0..1), 1..5),
+        delays in delays(),
         restart in 0..40_usize,
     ) {
-        let mut runs = TargetRuns::new(EVERY);
+        let mut runs = TargetRuns::new(HEARTBEAT_INTERVAL);
         let (mut newest, mut last) = (0, 0);
-        for (n, (ms, i, name, number)) in arrivals(&lives, &cuts).into_iter().enumerate() {
+        for (n, (ms, i, name, number)) in arrivals(&run_specs, &delays).into_iter().enumerate() {
             if n == restart {
-                // The agent has started again, and knows of no run.
-                runs = TargetRuns::new(EVERY);
+                // The agent has restarted and knows no run.
+                runs = TargetRuns::new(HEARTBEAT_INTERVAL);
                 (newest, last) = (0, 0);
             }
             match runs.heartbeat(&name, number, at(ms)) {
@@ -243,13 +253,16 @@
         }
     }
 
-    /// Whatever the clocks do: a run that goes on speaking is the current one in the end, and only a run with a
-    /// later start ends its predecessor's flows for certain.
+    /// However clocks jump, a run that keeps sending heartbeats is the current one in the end, and
+    /// only a run with a later start time proves that its predecessor has ended.
     #[test]
-    fn living_run_wins(lives in prop::collection::vec(life(-4000..4000), 1..4), cuts in cuts()) {
-        let mut runs = TargetRuns::new(EVERY);
+    fn live_run_wins(
+        run_specs in prop::collection::vec(run_spec(-4000..4000), 1..4),
+        delays in delays(),
+    ) {
+        let mut runs = TargetRuns::new(HEARTBEAT_INTERVAL);
         let mut current: Option<TargetRun> = None;
-        let heard = arrivals(&lives, &cuts);
+        let heard = arrivals(&run_specs, &delays);
         let end = heard.last().map_or(0, |(ms, ..)| *ms);
         let (_, _, name, number) = heard.iter().max_by_key(|(_, i, _, number)| (*i, *number)).cloned().unwrap();
         for (ms, _, name, number) in heard {
@@ -270,12 +283,12 @@
     }
 }
 
-/// The first heartbeats of a target that starts with its agent may have found nobody.
+/// The first heartbeats of a target that starts together with its agent may not have reached the agent.
 #[rstest]
 #[case::after_it(1_000_400, true)]
 #[case::with_it(999_950, true)]
 #[case::before_it(999_800, false)]
 fn started_with_its_agent(#[case] started: u64, #[case] with: bool) {
     assert_eq!(run("a", started).started_with(NOW), with);
-    assert!(!untold("a").started_with(NOW));
+    assert!(!undated("a").started_with(NOW));
 }
