--- a/crates/dillmill-agent/src/admission.rs
+++ b/crates/dillmill-agent/src/admission.rs
@@ -10,7 +10,7 @@
 use dillmill_core::retry_budget::RetryBudget;
 use dillmill_core::scheduler::{Offer, Refusal, RequestId, Scheduler, SchedulingRequest};
 use dillmill_core::{MemberStatus, Percent, ServiceName, Slots, TargetPace, Timestamp, warm_up};
-use dillmill_node::{NodeHandle, View, Views, with_draw};
+use dillmill_node::{NodeHandle, View, ViewReceiver, with_random_index};
 use dillmill_wire::Message;
 
 use crate::metrics::AgentMetrics;
@@ -139,7 +139,7 @@
     }
 }
 
-async fn forward_views(views: Views, tx: flume::Sender<Input>) {
+async fn forward_views(views: ViewReceiver, tx: flume::Sender<Input>) {
     while let Some(view) = views.next().await {
         if tx.send(Input::View(view)).is_err() {
             return;
@@ -261,7 +261,7 @@
         if exclude_self {
             own.slots = Slots(0);
         }
-        let place = with_draw(|draw| self.siblings.place(policy, own, now, draw));
+        let place = with_random_index(|draw| self.siblings.place(policy, own, now, draw));
         match place {
             Place::Sibling { process, control } => Some(RingMember { process, control }),
             Place::Here if own.slots.0 == 0 => self.unreported_sibling(),
@@ -273,7 +273,7 @@
     fn unreported_sibling(&self) -> Option<RingMember> {
         let unreported = |m: &&RingMember| !self.siblings.knows(m.process);
         let unreported: Vec<&RingMember> = self.sibling_addrs.iter().filter(unreported).collect();
-        let i = with_draw(|draw| draw(unreported.len()));
+        let i = with_random_index(|draw| draw(unreported.len()));
         unreported.get(i).map(|m| **m)
     }
 
@@ -348,7 +348,7 @@
         self.last_report = Some((report, now));
         let mut to: Vec<RingMember> = self.sibling_addrs.clone();
         while to.len() > MAX_REPORT_RECIPIENTS {
-            let i = with_draw(|draw| draw(to.len()));
+            let i = with_random_index(|draw| draw(to.len()));
             to.swap_remove(i);
         }
         for member in to {
--- a/crates/dillmill-agent/src/agent.rs
+++ b/crates/dillmill-agent/src/agent.rs
@@ -7,8 +7,8 @@
 use dillmill_core::claims::RingMember;
 use dillmill_core::{EventKind, FlowCoverage, FlowId, MemberStatus, Role, ServiceName, Weight};
 use dillmill_node::{
-    Inlets, Node, NodeError, NodeHandle, NodeSpec, ProcessConfig, SettingsSource, View, Views,
-    config::AgentConfig,
+    Node, NodeError, NodeHandle, NodeSpec, ProcessConfig, RoleChannels, SettingsSource, View,
+    ViewReceiver, config::AgentConfig,
 };
 use dillmill_settings::{CompiledTree, Service, Tls};
 use dillmill_store::RingStore;
@@ -67,7 +67,7 @@
                 weight: Weight(100),
                 coverage: FlowCoverage::default(),
                 settings: SettingsSource::Tree,
-                quiet: Duration::ZERO,
+                announce_delay: Duration::ZERO,
             },
         )
         .await?;
@@ -161,14 +161,17 @@
         handle.journal.record(EventKind::Process, "agent stopped", cause);
         self.endpoint.close(quinn::VarInt::from_u32(0x100), b"stopped as planned");
         let _ = compio::time::timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await;
-        handle.stopped().await;
+        handle.announce_stopped().await;
     }
 }
 
 type FirstSettings = (Arc<View>, Arc<CompiledTree>, Service);
 
 /// Waits until the settings contain the agent's service.
-async fn first_settings(views: &Views, name: &ServiceName) -> Result<FirstSettings, NodeError> {
+async fn first_settings(
+    views: &ViewReceiver,
+    name: &ServiceName,
+) -> Result<FirstSettings, NodeError> {
     loop {
         let view = views.next().await;
         let view =
@@ -185,17 +188,17 @@
     rings: &RingStore,
     endpoint: &quinn::Endpoint,
 ) -> (flume::Sender<()>, flume::Sender<()>) {
-    let (questions_tx, questions) = flume::unbounded();
+    let (questions_tx, peer_requests) = flume::unbounded();
     let (loads_tx, loads) = flume::unbounded();
     let (handed_tx, handed) = flume::unbounded();
-    cx.node.set_inlets(Inlets {
-        questions: questions_tx,
+    cx.node.set_role_channels(RoleChannels {
+        peer_requests: questions_tx,
         loads: loads_tx,
         handed: handed_tx,
-        ..Inlets::closed()
+        ..RoleChannels::closed()
     });
     cx.admission.forward_load_reports(loads);
-    compio::runtime::spawn(claiming::serve_requests(cx.clone(), questions)).detach();
+    compio::runtime::spawn(claiming::serve_requests(cx.clone(), peer_requests)).detach();
     compio::runtime::spawn(forwarding::serve_all(cx.clone(), handed)).detach();
     compio::runtime::spawn(ring_task::run(cx.clone(), rings.clone())).detach();
     let (migrate_tx, migrate) = drop_signal();
@@ -220,7 +223,7 @@
 /// Applies changes of the settings: the keys of connection ids, the TLS certificate and the claim window.
 struct SettingsFollower {
     cx: AgentContext,
-    views: Views,
+    views: ViewReceiver,
     endpoint: quinn::Endpoint,
     ids: FlowIdGenerator,
     tls: Tls,
--- a/crates/dillmill-agent/src/chain.rs
+++ b/crates/dillmill-agent/src/chain.rs
@@ -38,7 +38,11 @@
     pin_mut!(work);
     // Dropping `work` closes the connection to the target or sibling, which cancels the request there.
     if let Either::Right(_) = select(work, closed).await {
-        cx.node.journal.detail(EventKind::Request, "request cancelled", "the caller disconnected");
+        cx.node.journal.record_debug(
+            EventKind::Request,
+            "request cancelled",
+            "the caller disconnected",
+        );
     }
 }
 
@@ -70,7 +74,7 @@
         Outcome::Answer(_) | Outcome::AnswerNotKept => None,
     };
     if let Some((what, reason)) = refused {
-        cx.node.journal.detail(EventKind::Request, what, reason);
+        cx.node.journal.record_debug(EventKind::Request, what, reason);
     }
     let _ = sink.outcome(outcome).await;
 }
--- a/crates/dillmill-agent/src/claiming.rs
+++ b/crates/dillmill-agent/src/claiming.rs
@@ -6,7 +6,7 @@
     Claim, ClaimAnswer, ClaimKey, Epoch, Finding, Inquiry, Ring, RingMember,
 };
 use dillmill_core::{MemberStatus, Timestamp};
-use dillmill_node::Question;
+use dillmill_node::IncomingPeerRequest;
 use dillmill_wire::{PeerRequest, Reply};
 use futures_util::future::join_all;
 
@@ -225,15 +225,18 @@
 }
 
 /// Answers requests of other agents until the process ends.
-pub(crate) async fn serve_requests(cx: AgentContext, questions: flume::Receiver<Question>) {
-    while let Ok(question) = questions.recv_async().await {
+pub(crate) async fn serve_requests(
+    cx: AgentContext,
+    peer_requests: flume::Receiver<IncomingPeerRequest>,
+) {
+    while let Ok(question) = peer_requests.recv_async().await {
         if question.service == cx.service {
             compio::runtime::spawn(answer(cx.clone(), question)).detach();
         }
     }
 }
 
-async fn answer(cx: AgentContext, question: Question) {
+async fn answer(cx: AgentContext, question: IncomingPeerRequest) {
     let reply = match question.ask.clone() {
         PeerRequest::Claim { key, epoch, by } => match decide_claim(&cx, key, epoch, by).await {
             Some(answer) => Reply::Claim(answer),
--- a/crates/dillmill-agent/src/connection.rs
+++ b/crates/dillmill-agent/src/connection.rs
@@ -42,10 +42,10 @@
     let caller = incoming.remote_address();
     let Ok(connection) = incoming.await else { return };
     cx.count_flows(1);
-    cx.node.journal.detail(EventKind::Flow, format!("flow of {caller} open"), "handshake");
+    cx.node.journal.record_debug(EventKind::Flow, format!("flow of {caller} open"), "handshake");
     let cause = serve_requests(&cx, connection, leaving).await;
     cx.count_flows(-1);
-    cx.node.journal.detail(EventKind::Flow, format!("flow of {caller} closed"), cause);
+    cx.node.journal.record_debug(EventKind::Flow, format!("flow of {caller} closed"), cause);
 }
 
 async fn serve_requests(
--- a/crates/dillmill-agent/src/data_task.rs
+++ b/crates/dillmill-agent/src/data_task.rs
@@ -7,7 +7,7 @@
 use compio::buf::BufResult;
 use compio::net::UdpSocket;
 use dillmill_core::{FlowId, ServiceName, Timestamp};
-use dillmill_node::{NodeHandle, View, with_draw};
+use dillmill_node::{NodeHandle, View, with_random_index};
 use dillmill_wire::Frame;
 
 use crate::inbound::FirstPackets;
@@ -110,7 +110,7 @@
     async fn send(&self, out: &Outbound, state: &State, now: Timestamp) {
         let Some(table) = &state.table else { return };
         let balancer =
-            with_draw(|draw| state.paths.choose(out.caller, &state.balancers, now, draw));
+            with_random_index(|draw| state.paths.choose(out.caller, &state.balancers, now, draw));
         let Some(balancer) = balancer else { return };
         let frame =
             Frame { service: table.own.service, caller: out.caller, hops: 0, balancer: None };
--- a/crates/dillmill-agent/src/forwarding.rs
+++ b/crates/dillmill-agent/src/forwarding.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dillmill_core::claims::RingMember;
-use dillmill_node::{Framed, Handed};
+use dillmill_node::{Framed, IncomingForward};
 use dillmill_wire::{CachedResponse, StreamMessage};
 use http::Method;
 
@@ -112,14 +112,14 @@
 }
 
 /// Runs the requests that siblings hand over, until the process ends.
-pub(crate) async fn serve_all(cx: AgentContext, handed: flume::Receiver<Handed>) {
+pub(crate) async fn serve_all(cx: AgentContext, handed: flume::Receiver<IncomingForward>) {
     while let Ok(handed) = handed.recv_async().await {
         compio::runtime::spawn(serve(cx.clone(), handed)).detach();
     }
 }
 
-async fn serve(cx: AgentContext, handed: Handed) {
-    let Handed { request, framed } = handed;
+async fn serve(cx: AgentContext, handed: IncomingForward) {
+    let IncomingForward { request, framed } = handed;
     let closed = framed.closed();
     let mut sink = ResponseSink::Agent(Box::new(framed));
     let is_addressee = request.to == cx.me.process && request.service == cx.service;
--- a/crates/dillmill-balancer/src/balancer.rs
+++ b/crates/dillmill-balancer/src/balancer.rs
@@ -93,7 +93,7 @@
             weight: Weight(100),
             coverage: FlowCoverage::default(),
             settings: SettingsSource::Tree,
-            quiet: Duration::ZERO,
+            announce_delay: Duration::ZERO,
         };
         let node = Node::spawn(config, spec).await?;
         let metrics = BalancerMetrics::new(&node.handle.metrics)?;
@@ -129,7 +129,7 @@
                 break;
             }
         }
-        handle.stopped().await;
+        handle.announce_stopped().await;
     }
 }
 
--- a/crates/dillmill-balancer/src/service_socket.rs
+++ b/crates/dillmill-balancer/src/service_socket.rs
@@ -5,7 +5,7 @@
 use compio::buf::BufResult;
 use compio::net::UdpSocket;
 use dillmill_core::ServiceName;
-use dillmill_node::{View, Views};
+use dillmill_node::{View, ViewReceiver};
 use dillmill_wire::Frame;
 
 use crate::balancer::BalancerMetrics;
@@ -18,7 +18,7 @@
     pub(crate) name: ServiceName,
     pub(crate) socket: UdpSocket,
     pub(crate) data: UdpSocket,
-    pub(crate) views: Views,
+    pub(crate) views: ViewReceiver,
     pub(crate) metrics: BalancerMetrics,
 }
 
--- a/crates/dillmill-flow/src/agent.rs
+++ b/crates/dillmill-flow/src/agent.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillmill_core::{EventKind, Role, Weight};
-use dillmill_node::{Inlets, Node, NodeError, NodeSpec, SettingsSource};
+use dillmill_node::{Node, NodeError, NodeSpec, RoleChannels, SettingsSource};
 use dillmill_platform::ProcessSettings;
 use error_stack::Report;
 
@@ -58,7 +58,7 @@
             weight: Weight(announcement.slots),
             coverage: announcement.coverage,
             settings: SettingsSource::Routes,
-            quiet: FIRST_HEARTBEAT_WAIT,
+            announce_delay: FIRST_HEARTBEAT_WAIT,
         };
         let node = Node::spawn(&config, spec).await?;
         let counters = AgentCounters::new(&node.handle.metrics)?;
@@ -68,7 +68,11 @@
             endpoints::serve(settings.readiness.into_iter().chain(settings.heartbeats)).await?;
         let (loads_tx, _) = flume::bounded(1);
         let (flows_tx, flows) = flume::unbounded();
-        node.handle.set_inlets(Inlets { loads: loads_tx, flows: flows_tx, ..Inlets::closed() });
+        node.handle.set_role_channels(RoleChannels {
+            loads: loads_tx,
+            flows: flows_tx,
+            ..RoleChannels::closed()
+        });
         let (stop, stops) = flume::unbounded();
         let task = AgentTask::new(
             node.handle.clone(),
@@ -99,7 +103,7 @@
         // The flows of a live target outlive its agent, so the other processes must not treat them as lost.
         // Either the agent is restarted, or the others detect its failure by its silence.
         if matches!(target_gone, Ok(Ok(true))) {
-            handle.stopped().await;
+            handle.announce_stopped().await;
         }
     }
 }
--- a/crates/dillmill-flow/src/agent_task.rs
+++ b/crates/dillmill-flow/src/agent_task.rs
@@ -22,7 +22,7 @@
     AgentTable, CallerPackets, DirectoryCatchUp, FlowGate, MemberStatus, PauseDetector,
     Registrations, RouteTable, ServiceName, ServiceTag, TargetRuns, Timestamp, ZoneName,
 };
-use dillmill_node::{NodeError, NodeHandle, View, Views};
+use dillmill_node::{NodeError, NodeHandle, View, ViewReceiver};
 use dillmill_platform::{EndpointCall, ProcessSettings};
 use dillmill_wire::FlowMessage;
 use futures_util::stream::{self, StreamExt};
@@ -90,7 +90,7 @@
 /// State of an agent: its two sockets, the flow gate of its target, and its view of the other processes.
 pub struct AgentTask {
     handle: NodeHandle,
-    views: Views,
+    views: ViewReceiver,
     packets: UdpSocket,
     uplink: Uplink,
     link_free: flume::Receiver<()>,
--- a/crates/dillmill-flow/src/balancer.rs
+++ b/crates/dillmill-flow/src/balancer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dillmill_core::{EventKind, FlowCoverage, MemberStatus, Role, Weight};
-use dillmill_node::{Inlets, Node, NodeError, NodeSpec, SettingsSource};
+use dillmill_node::{Node, NodeError, NodeSpec, RoleChannels, SettingsSource};
 use dillmill_platform::endpoint::CallOutcome;
 use dillmill_platform::{EndpointCall, ProcessSettings};
 use error_stack::Report;
@@ -53,7 +53,7 @@
             weight: Weight(100),
             coverage: FlowCoverage::Complete,
             settings: SettingsSource::Routes,
-            quiet: Duration::ZERO,
+            announce_delay: Duration::ZERO,
         };
         let node = Node::spawn(&config, spec).await?;
         let counters = BalancerCounters::new(&node.handle.metrics)?;
@@ -65,8 +65,9 @@
 
         let (loads_tx, loads) = flume::unbounded();
         let (flows_tx, flows) = flume::unbounded();
-        let inlets = Inlets { loads: loads_tx, flows: flows_tx, ..Inlets::closed() };
-        node.handle.set_inlets(inlets);
+        let role_channels =
+            RoleChannels { loads: loads_tx, flows: flows_tx, ..RoleChannels::closed() };
+        node.handle.set_role_channels(role_channels);
         let task = BalancerTask::new(
             node.handle.clone(),
             socket,
@@ -102,7 +103,7 @@
                 break;
             }
         }
-        handle.stopped().await;
+        handle.announce_stopped().await;
     }
 }
 
--- a/crates/dillmill-flow/src/balancer_task.rs
+++ b/crates/dillmill-flow/src/balancer_task.rs
@@ -15,7 +15,7 @@
     PendingSearches, RouteTable, SearchScope, Segment, SegmentKind, ServiceTag, Timestamp,
     ZoneName,
 };
-use dillmill_node::{NodeError, NodeHandle, TrafficKind, View, Views};
+use dillmill_node::{NodeError, NodeHandle, TrafficKind, View, ViewReceiver};
 use dillmill_platform::ProcessSettings;
 use dillmill_platform::packet::{self, Sender};
 use dillmill_wire::{FlowMessage, Message, seal_envelope};
@@ -61,7 +61,7 @@
 /// State of a balancer: the socket for callers, the owners of flows, and its view of the agents.
 pub struct BalancerTask {
     handle: NodeHandle,
-    views: Views,
+    views: ViewReceiver,
     socket: UdpSocket,
     uplink: Uplink,
     link_free: flume::Receiver<()>,
--- a/crates/dillmill-flow/src/operator_watch.rs
+++ b/crates/dillmill-flow/src/operator_watch.rs
@@ -12,7 +12,7 @@
 use dillmill_core::{
     Evacuations, EventKind, Revision, StartDelay, StoreReach, Timestamp, store_selection,
 };
-use dillmill_node::{Node, NodeHandle, View, Views};
+use dillmill_node::{Node, NodeHandle, View, ViewReceiver};
 use dillmill_platform::store_protocol::Changes;
 use dillmill_platform::{
     Entry, Freshness, OperatorKey, PlatformError, ProcessSettings, Store, Version, WatchOutcome,
@@ -60,7 +60,7 @@
 pub struct OperatorWatch {
     store: Store,
     handle: NodeHandle,
-    views: Views,
+    views: ViewReceiver,
     view: Option<Arc<View>>,
     after: Option<Version>,
     started: Timestamp,
--- a/crates/dillmill-flow/src/reload.rs
+++ b/crates/dillmill-flow/src/reload.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime};
 
 use dillmill_core::EventKind;
-use dillmill_node::{Journal, hang_up::HangUps};
+use dillmill_node::{Journal, hangup_signal::HangupSignals};
 use dillmill_platform::ProcessSettings;
 use futures_util::future::{Either, select};
 use futures_util::pin_mut;
@@ -33,14 +33,14 @@
         current: ProcessSettings,
         stop_limit: Rc<Cell<Duration>>,
         journal: Journal,
-        hang_ups: HangUps,
+        hang_ups: HangupSignals,
     ) {
         let read_modified_at = modification_time(&path);
         let reload = Self { path, current, stop_limit, journal, read_modified_at };
         compio::runtime::spawn(reload.run(hang_ups)).detach();
     }
 
-    async fn run(mut self, mut hang_ups: HangUps) {
+    async fn run(mut self, mut hang_ups: HangupSignals) {
         loop {
             let signalled = {
                 let signal = hang_ups.next();
--- a/crates/dillmill-flow/src/session.rs
+++ b/crates/dillmill-flow/src/session.rs
@@ -12,7 +12,7 @@
 
 use dillmill_core::membership::{FleetSize, StoredSize};
 use dillmill_core::{EventKind, StartDelay, StoreReach, Timestamp, store_selection};
-use dillmill_node::{Node, NodeHandle, View, Views};
+use dillmill_node::{Node, NodeHandle, View, ViewReceiver};
 use dillmill_platform::{CommitOutcome, Freshness, LeaseId, ProcessSettings, Store};
 use error_stack::Report;
 use rand::Rng;
@@ -63,7 +63,7 @@
     control: SocketAddrV4,
     lease: Option<LeaseId>,
     ttl: Duration,
-    views: Views,
+    views: ViewReceiver,
     view: Option<Arc<View>>,
     first_start: bool,
     /// Random number from 0 to 1 that decides when this process queries the store among all that start
@@ -264,7 +264,7 @@
     }
 
     fn record_reach(&mut self, reach: StoreReach, cause: String) {
-        self.handle.platform_answered(reach == StoreReach::Answers, cause);
+        self.handle.report_platform(reach == StoreReach::Answers, cause);
         if self.announced.0 != reach {
             self.announce_reach(reach);
         }
--- a/crates/dillmill-flow/src/uplink.rs
+++ b/crates/dillmill-flow/src/uplink.rs
@@ -115,7 +115,7 @@
 
     /// Sends a packet of this process, such as a reset, immediately and around the queue.
     pub async fn send_at_once(&self, kind: TrafficKind, buf: Vec<u8>, to: SocketAddrV4) {
-        self.traffic.sent_at_once(kind, buf.len());
+        self.traffic.sent_unqueued(kind, buf.len());
         if !sockets::send(&self.socket, buf, to).await {
             self.counters.failed.inc();
         }
@@ -143,9 +143,9 @@
     }
 
     fn charge_bypassing(&mut self) {
-        let at_once = self.traffic.at_once();
-        self.queue.charge(at_once - self.charged);
-        self.charged = at_once;
+        let unqueued_bytes = self.traffic.unqueued_bytes();
+        self.queue.charge(unqueued_bytes - self.charged);
+        self.charged = unqueued_bytes;
     }
 
     /// Starts the timer for the next packet if one is queued and no timer is running.
--- a/crates/dillmill-node/src/client.rs
+++ b/crates/dillmill-node/src/client.rs
@@ -14,7 +14,7 @@
 /// # Errors
 ///
 /// Fails when the process can't be reached or does not answer within two seconds.
-pub async fn ask(
+pub async fn send_request(
     to: SocketAddrV4,
     key: &ClusterKey,
     question: &StreamMessage,
--- a/crates/dillmill-node/src/control.rs
+++ b/crates/dillmill-node/src/control.rs
@@ -14,13 +14,13 @@
 use dillmill_wire::stream::describe;
 use dillmill_wire::{FlowMessage, Message, ProcessStatus, Reply};
 
-use crate::handle::{Inlets, NodeHandle, Question, with_draw};
+use crate::handle::{IncomingPeerRequest, NodeHandle, RoleChannels, with_random_index};
 use crate::views::ViewSender;
 use crate::{SettingsSource, TrafficKind, View};
 
-mod comparing;
 mod evacuations;
 mod input;
+mod peer_sync;
 mod settings;
 
 pub(crate) use input::Input;
@@ -61,7 +61,7 @@
     pub(crate) routes_asked: Option<(Revision, Timestamp)>,
     pub(crate) recent: VecDeque<Change>,
     pub(crate) events: EventLog,
-    pub(crate) inlets: Option<Inlets>,
+    pub(crate) role_channels: Option<RoleChannels>,
     pub(crate) subscribers: Vec<ViewSender>,
     pub(crate) asks: HashMap<u64, (flume::Sender<Reply>, Timestamp)>,
     pub(crate) pulled: Option<(Revision, SocketAddrV4, Timestamp)>,
@@ -100,7 +100,7 @@
             routes_asked: None,
             recent: VecDeque::new(),
             events: EventLog::new(TIMELINE_CAPACITY),
-            inlets: None,
+            role_channels: None,
             subscribers: Vec::new(),
             asks: HashMap::new(),
             pulled: None,
@@ -143,9 +143,9 @@
         match input {
             Input::Datagram { from, message } => self.datagram(from, message, now).await,
             Input::Stream { message, tx } => self.answer_stream(message, &tx, now),
-            Input::Handed(handed) => {
-                if let Some(inlets) = &self.inlets {
-                    let _ = inlets.handed.send(*handed);
+            Input::IncomingForward(handed) => {
+                if let Some(role_channels) = &self.role_channels {
+                    let _ = role_channels.handed.send(*handed);
                 }
             }
             Input::Tick => self.tick(now).await,
@@ -153,7 +153,7 @@
                 tx.send(Arc::new(self.view()));
                 self.subscribers.push(tx);
             }
-            Input::Inlets(inlets) => self.inlets = Some(inlets),
+            Input::RoleChannels(role_channels) => self.role_channels = Some(role_channels),
             Input::Send { to, message } => self.send(to, &message).await,
             Input::AskRecords { to } => {
                 let me = Box::new(self.membership.me().clone());
@@ -217,21 +217,21 @@
         match message {
             Message::Probe(probe) => {
                 self.learn_revision(from, &probe, now).await;
-                let out = with_draw(|draw| self.membership.receive(from, probe, now, draw));
+                let out = with_random_index(|draw| self.membership.receive(from, probe, now, draw));
                 self.send_all(out).await;
                 self.sync_if_wanted();
             }
             Message::Load(report) => {
-                if let Some(inlets) = &self.inlets {
-                    let _ = inlets.loads.send((from, report));
+                if let Some(role_channels) = &self.role_channels {
+                    let _ = role_channels.loads.send((from, report));
                 }
             }
             Message::Flow(message) => {
                 if let FlowMessage::AskRecords { me } = &message {
                     self.membership.learn(Member::clone(me), now);
                 }
-                if let Some(inlets) = &self.inlets {
-                    let _ = inlets.flows.send((from, message));
+                if let Some(role_channels) = &self.role_channels {
+                    let _ = role_channels.flows.send((from, message));
                 }
             }
             Message::Evacuations(evacuations) => {
@@ -243,9 +243,14 @@
             }
             Message::PeerRequest { id, to, service, ask } => {
                 if to == self.membership.me().process
-                    && let Some(inlets) = &self.inlets
+                    && let Some(role_channels) = &self.role_channels
                 {
-                    let _ = inlets.questions.send(Question { from, id, service, ask });
+                    let _ = role_channels.peer_requests.send(IncomingPeerRequest {
+                        from,
+                        id,
+                        service,
+                        ask,
+                    });
                 }
             }
             Message::Reply { id, reply } => {
@@ -261,7 +266,7 @@
         if now < self.quiet_until {
             return;
         }
-        let out = with_draw(|draw| self.membership.tick(now, draw));
+        let out = with_random_index(|draw| self.membership.tick(now, draw));
         self.send_all(out).await;
         self.asks.retain(|_, (_, at)| now.since(*at) < ASK_LIFETIME);
         self.sync_if_wanted();
@@ -372,7 +377,7 @@
             return;
         }
         self.handle.metrics.control_sent.inc_by(bytes.len() as u64);
-        self.handle.metrics.traffic.sent_at_once(TrafficKind::from(message), bytes.len());
+        self.handle.metrics.traffic.sent_unqueued(TrafficKind::from(message), bytes.len());
         // A datagram that can't be sent is as one that was lost: whoever needs it asks again.
         let _ = self.socket.send_to(bytes, std::net::SocketAddr::V4(to)).await;
     }
--- a/crates/dillmill-node/src/control/evacuations.rs
+++ b/crates/dillmill-node/src/control/evacuations.rs
@@ -7,7 +7,7 @@
 use dillmill_wire::Message;
 
 use super::Control;
-use crate::handle::with_draw;
+use crate::handle::with_random_index;
 
 impl Control {
     /// Takes in changes that the platform's store has told.
@@ -40,7 +40,7 @@
         let count = i64::try_from(names.len()).unwrap_or(i64::MAX);
         self.handle.metrics.evacuated.set(count);
         let message = Message::Evacuations(Evacuations::clone(&newer));
-        for to in with_draw(|draw| self.membership.gossip_peers(draw)) {
+        for to in with_random_index(|draw| self.membership.gossip_peers(draw)) {
             self.send(to, &message).await;
         }
     }
--- a/crates/dillmill-node/src/control/input.rs
+++ b/crates/dillmill-node/src/control/input.rs
@@ -7,8 +7,8 @@
 use dillmill_settings::{Change, RouteTree, Tree};
 use dillmill_wire::{Message, Reply, StreamMessage};
 
-use crate::Handed;
-use crate::handle::Inlets;
+use crate::IncomingForward;
+use crate::handle::RoleChannels;
 use crate::views::ViewSender;
 
 /// Everything that the control task takes in.
@@ -28,13 +28,13 @@
         tx: flume::Sender<StreamMessage>,
     },
     /// A request handed over on a TCP connection.
-    Handed(Box<Handed>),
+    IncomingForward(Box<IncomingForward>),
     /// Time passes.
     Tick,
     /// A task wants views.
     Subscribe(ViewSender),
     /// A role says where questions go.
-    Inlets(Inlets),
+    RoleChannels(RoleChannels),
     /// Send a datagram.
     Send {
         /// Receiver.
--- a/crates/dillmill-node/src/control/comparing.rs
+++ b/crates/dillmill-node/src/control/peer_sync.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 use super::{Control, Input};
-use crate::handle::with_draw;
+use crate::handle::with_random_index;
 use crate::{Framed, client};
 
 /// Comparisons answered within [`BUSY_FOR`] from which on newcomers are sent to others for what is new to them.
@@ -19,7 +19,7 @@
 
 impl Control {
     pub(super) fn sync_if_wanted(&mut self) {
-        while let Some(peer) = with_draw(|draw| self.membership.next_sync_peer(draw)) {
+        while let Some(peer) = with_random_index(|draw| self.membership.next_sync_peer(draw)) {
             self.sync_with(peer);
         }
     }
--- a/crates/dillmill-node/src/control/settings.rs
+++ b/crates/dillmill-node/src/control/settings.rs
@@ -11,7 +11,7 @@
 
 use super::Control;
 use crate::SettingsSource;
-use crate::handle::with_draw;
+use crate::handle::with_random_index;
 
 const RECENT_CHANGES: usize = 128;
 const CHANGES_PER_DATAGRAM: usize = 8;
@@ -158,7 +158,7 @@
         } else {
             Message::Probe(self.membership.announcement())
         };
-        let peers = with_draw(|draw| self.membership.random_peers(FANOUT, draw));
+        let peers = with_random_index(|draw| self.membership.random_peers(FANOUT, draw));
         for to in peers {
             self.send(to, &message).await;
         }
--- a/crates/dillmill-node/src/framed.rs
+++ b/crates/dillmill-node/src/framed.rs
@@ -84,7 +84,7 @@
         let mut bytes = len.to_be_bytes().to_vec();
         bytes.extend_from_slice(&sealed);
         if let Some(traffic) = &self.traffic {
-            traffic.sent_at_once(TrafficKind::Stream, bytes.len());
+            traffic.sent_unqueued(TrafficKind::Stream, bytes.len());
         }
         let BufResult(outcome, _) = self.stream.write_all(bytes).await;
         outcome.map_err(NodeError::io("send to", &self.peer))
--- a/crates/dillmill-node/src/handle.rs
+++ b/crates/dillmill-node/src/handle.rs
@@ -15,7 +15,7 @@
 
 use crate::control::Input;
 use crate::logging;
-use crate::{Clock, Framed, Metrics, NodeError, Views};
+use crate::{Clock, Framed, Metrics, NodeError, ViewReceiver};
 
 const ASK_AGAIN: Duration = Duration::from_millis(120);
 
@@ -34,7 +34,7 @@
     }
 
     /// Records an event that is frequent, so that it is logged on `debug` only.
-    pub fn detail(&self, kind: EventKind, what: impl Into<String>, cause: impl Into<String>) {
+    pub fn record_debug(&self, kind: EventKind, what: impl Into<String>, cause: impl Into<String>) {
         self.at_level(log::Level::Debug, kind, what.into(), cause.into());
     }
 
@@ -64,7 +64,7 @@
 
 /// A question of another process that a role answers.
 #[derive(Debug)]
-pub struct Question {
+pub struct IncomingPeerRequest {
     /// Who asks.
     pub from: SocketAddrV4,
     /// Number to repeat.
@@ -77,7 +77,7 @@
 
 /// A request that another agent hands over, with the connection for the answer.
 #[derive(Debug)]
-pub struct Handed {
+pub struct IncomingForward {
     /// The request.
     pub request: ForwardedRequest,
     /// The connection.
@@ -86,26 +86,26 @@
 
 /// What a role takes from the control task besides views.
 #[derive(Debug, Clone)]
-pub struct Inlets {
+pub struct RoleChannels {
     /// Questions of other agents.
-    pub questions: flume::Sender<Question>,
+    pub peer_requests: flume::Sender<IncomingPeerRequest>,
     /// Load reports of siblings.
     pub loads: flume::Sender<(SocketAddrV4, LoadReport)>,
     /// Requests handed over.
-    pub handed: flume::Sender<Handed>,
+    pub handed: flume::Sender<IncomingForward>,
     /// Messages about packet flows, with their senders.
     pub flows: flume::Sender<(SocketAddrV4, FlowMessage)>,
 }
 
-impl Inlets {
+impl RoleChannels {
     /// Returns inlets that take nothing, for a role to fill in those it uses.
     #[must_use]
     pub fn closed() -> Self {
-        let (questions, _) = flume::bounded(0);
+        let (peer_requests, _) = flume::bounded(0);
         let (loads, _) = flume::bounded(0);
         let (handed, _) = flume::bounded(0);
         let (flows, _) = flume::bounded(0);
-        Self { questions, loads, handed, flows }
+        Self { peer_requests, loads, handed, flows }
     }
 }
 
@@ -130,15 +130,15 @@
 impl NodeHandle {
     /// Returns the present view and then newer ones, for one task.
     #[must_use]
-    pub fn views(&self) -> Views {
+    pub fn views(&self) -> ViewReceiver {
         let (tx, views) = crate::views::views();
         let _ = self.tx.send(Input::Subscribe(tx));
         views
     }
 
     /// Sets where questions, load reports and handed-over requests go.
-    pub fn set_inlets(&self, inlets: Inlets) {
-        let _ = self.tx.send(Input::Inlets(inlets));
+    pub fn set_role_channels(&self, role_channels: RoleChannels) {
+        let _ = self.tx.send(Input::RoleChannels(role_channels));
     }
 
     /// Sends a datagram to a process; it may be lost.
@@ -152,7 +152,7 @@
     }
 
     /// Answers a question.
-    pub fn reply(&self, question: &Question, reply: Reply) {
+    pub fn reply(&self, question: &IncomingPeerRequest, reply: Reply) {
         self.send(question.from, Message::Reply { id: question.id, reply });
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Says whether the platform answered, and what.
-    pub fn platform_answered(&self, reachable: bool, cause: impl Into<String>) {
+    pub fn report_platform(&self, reachable: bool, cause: impl Into<String>) {
         let _ = self.tx.send(Input::Platform { reachable, cause: cause.into() });
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Says that this process has stopped, and waits until that is sent.
-    pub async fn stopped(&self) {
+    pub async fn announce_stopped(&self) {
         let (tx, rx) = flume::bounded(1);
         let _ = self.tx.send(Input::Stopped(tx));
         let _ = rx.recv_async().await;
@@ -242,11 +242,11 @@
 
 /// Draws a random index below `n`.
 #[must_use]
-pub fn draw_below(n: usize) -> usize {
+pub fn random_index(n: usize) -> usize {
     if n == 0 { 0 } else { rand::rng().random_range(0..n) }
 }
 
 /// Calls `f` with a source of random indices.
-pub fn with_draw<T>(f: impl FnOnce(&mut RandomIndex<'_>) -> T) -> T {
-    f(&mut draw_below)
+pub fn with_random_index<T>(f: impl FnOnce(&mut RandomIndex<'_>) -> T) -> T {
+    f(&mut random_index)
 }
--- a/crates/dillmill-node/src/hang_up.rs
+++ b/crates/dillmill-node/src/hangup_signal.rs
@@ -12,7 +12,7 @@
 ///
 /// A signal without any listener ends the process, and a listener is gone as soon as it has fired. So
 /// there are always two, and one is replaced before the other goes.
-pub struct HangUps {
+pub struct HangupSignals {
     current: Listener,
 }
 
@@ -23,7 +23,7 @@
     listener
 }
 
-impl HangUps {
+impl HangupSignals {
     /// Begins to listen.
     pub async fn register() -> Self {
         Self { current: listen().await }
--- a/crates/dillmill-node/src/lib.rs
+++ b/crates/dillmill-node/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod error;
 pub mod framed;
 pub mod handle;
-pub mod hang_up;
+pub mod hangup_signal;
 pub mod log_writer;
 pub mod logging;
 pub mod metrics;
@@ -29,9 +29,11 @@
 pub use config::{LogLevel, ProcessConfig};
 pub use error::NodeError;
 pub use framed::Framed;
-pub use handle::{Handed, Inlets, Journal, NodeHandle, Question, with_draw};
+pub use handle::{
+    IncomingForward, IncomingPeerRequest, Journal, NodeHandle, RoleChannels, with_random_index,
+};
 pub use metrics::Metrics;
 pub use node::{Node, NodeSpec, SettingsSource};
 pub use traffic::{Traffic, TrafficKind};
 pub use view::View;
-pub use views::Views;
+pub use views::ViewReceiver;
--- a/crates/dillmill-node/src/node.rs
+++ b/crates/dillmill-node/src/node.rs
@@ -15,8 +15,8 @@
 use crate::control::{Control, Input};
 use crate::sync_limit::SyncLimit;
 use crate::{
-    Clock, Framed, Handed, Journal, Metrics, NodeError, NodeHandle, ProcessConfig, TrafficKind,
-    admin, logging, store_task,
+    Clock, Framed, IncomingForward, Journal, Metrics, NodeError, NodeHandle, ProcessConfig,
+    TrafficKind, admin, logging, store_task,
 };
 
 const TICK: Duration = Duration::from_millis(50);
@@ -38,7 +38,7 @@
     pub settings: SettingsSource,
     /// How long it waits before it makes itself known, unless it changes its record: each version of a record goes to
     /// all processes.
-    pub quiet: Duration,
+    pub announce_delay: Duration,
 }
 
 /// What a process is configured by.
@@ -122,7 +122,7 @@
             ))
             .detach();
         }
-        let quiet_until = started + spec.quiet;
+        let quiet_until = started + spec.announce_delay;
         let peers = config.peers.clone();
         let control = Control::new(handle.clone(), socket, me, peers, spec.settings, quiet_until);
         compio::runtime::spawn(control.run(rx)).detach();
@@ -170,8 +170,8 @@
     let mut framed = Framed::new(stream, key, peer.to_string()).counted(&handle.metrics.traffic);
     while let Ok(message) = framed.receive().await {
         if let StreamMessage::Request(request) = message {
-            let handed = Handed { request: *request, framed };
-            let _ = handle.tx.send(Input::Handed(Box::new(handed)));
+            let handed = IncomingForward { request: *request, framed };
+            let _ = handle.tx.send(Input::IncomingForward(Box::new(handed)));
             return;
         }
         let turn = syncs.take();
--- a/crates/dillmill-node/src/store_task.rs
+++ b/crates/dillmill-node/src/store_task.rs
@@ -8,7 +8,7 @@
 use dillmill_store::SettingsStore;
 
 use crate::control::Input;
-use crate::{NodeHandle, View, Views};
+use crate::{NodeHandle, View, ViewReceiver};
 
 const WATCH: Duration = Duration::from_secs(10);
 const RETRY_MIN: Duration = Duration::from_millis(200);
@@ -61,7 +61,7 @@
 }
 
 /// Returns the newest view as soon as it shows `revision` or a later one, or after `wait`.
-async fn shown(views: &Views, revision: Revision, wait: Duration) -> Option<Arc<View>> {
+async fn shown(views: &ViewReceiver, revision: Revision, wait: Duration) -> Option<Arc<View>> {
     let mut newest = None;
     let waiting = async {
         while let Some(view) = views.next().await {
--- a/crates/dillmill-node/src/traffic.rs
+++ b/crates/dillmill-node/src/traffic.rs
@@ -135,14 +135,14 @@
     }
 
     /// Counts a datagram of `len` bytes that was sent at once, whatever waits for the link.
-    pub fn sent_at_once(&self, kind: TrafficKind, len: usize) {
+    pub fn sent_unqueued(&self, kind: TrafficKind, len: usize) {
         self.sent(kind, len);
         self.unqueued.fetch_add(bytes(len), Ordering::Relaxed);
     }
 
     /// Returns the bytes sent at once since the start, for whoever makes room for them.
     #[must_use]
-    pub fn at_once(&self) -> u64 {
+    pub fn unqueued_bytes(&self) -> u64 {
         self.unqueued.load(Ordering::Relaxed)
     }
 
--- a/crates/dillmill-node/src/views.rs
+++ b/crates/dillmill-node/src/views.rs
@@ -9,12 +9,12 @@
 /// Gives a task the newest view; views that the task did not look at in time are skipped, so a task
 /// that is idle for days holds one view and not all.
 #[derive(Debug)]
-pub struct Views {
+pub struct ViewReceiver {
     cell: Cell,
     rx: flume::Receiver<()>,
 }
 
-/// The other end of [`Views`].
+/// The other end of [`ViewReceiver`].
 #[derive(Debug)]
 pub(crate) struct ViewSender {
     cell: Cell,
@@ -22,10 +22,10 @@
 }
 
 /// Creates both ends.
-pub(crate) fn views() -> (ViewSender, Views) {
+pub(crate) fn views() -> (ViewSender, ViewReceiver) {
     let cell = Cell::default();
     let (tx, rx) = flume::bounded(1);
-    (ViewSender { cell: cell.clone(), tx }, Views { cell, rx })
+    (ViewSender { cell: cell.clone(), tx }, ViewReceiver { cell, rx })
 }
 
 impl ViewSender {
@@ -36,7 +36,7 @@
     }
 }
 
-impl Views {
+impl ViewReceiver {
     fn take(&self) -> Option<Arc<View>> {
         self.cell.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/dillmill/src/main.rs
+++ b/crates/dillmill/src/main.rs
@@ -8,7 +8,7 @@
 use dillmill_flow::reload::SettingsReloader;
 use dillmill_flow::{FlowAgent, FlowBalancer};
 use dillmill_node::config::AgentConfig;
-use dillmill_node::hang_up::HangUps;
+use dillmill_node::hangup_signal::HangupSignals;
 use dillmill_node::{logging, stop};
 use dillmill_platform::ProcessSettings;
 use error_stack::Report;
@@ -79,7 +79,7 @@
     if check {
         return report_valid(&path);
     }
-    let hang_ups = HangUps::register().await;
+    let hang_ups = HangupSignals::register().await;
     to_exit_code(run_flows(role, path, settings, metrics_port, hang_ups).await)
 }
 
@@ -88,7 +88,7 @@
     path: PathBuf,
     settings: ProcessSettings,
     metrics_port: Option<u16>,
-    hang_ups: HangUps,
+    hang_ups: HangupSignals,
 ) -> Result<(), Report<NodeError>> {
     match role {
         RoleCommand::Balancer => {
--- a/crates/dillmillctl/src/verbs/processes.rs
+++ b/crates/dillmillctl/src/verbs/processes.rs
@@ -24,7 +24,7 @@
     }
     let mut last_error = String::new();
     for peer in &cfg.peers {
-        match client::ask(*peer, key, &StreamMessage::GetMembers).await {
+        match client::send_request(*peer, key, &StreamMessage::GetMembers).await {
             Ok(StreamMessage::Members(members)) => return Ok(members),
             Ok(_) => last_error = format!("{peer}: unexpected answer"),
             Err(e) => last_error = e.to_string(),
@@ -42,7 +42,7 @@
     let alive = members.into_iter().filter(|m| m.status != MemberStatus::Down);
     stream::iter(alive)
         .map(|member| async move {
-            let answer = client::ask(member.control, key, request).await.ok();
+            let answer = client::send_request(member.control, key, request).await.ok();
             (member, answer)
         })
         .buffer_unordered(MAX_CONCURRENT_REQUESTS)
