--- a/crates/dillmill-node/src/admin.rs
+++ b/crates/dillmill-node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The administration page of a process: HTTP, on loopback unless set otherwise.
+//! Serves the administration page of a process over HTTP, on loopback unless set otherwise.
 
 use axum::extract::State;
 use axum::http::StatusCode;
@@ -24,15 +24,15 @@
     let _ = cyper_axum::serve(listener, router).await;
 }
 
-async fn ask(handle: &NodeHandle, message: StreamMessage) -> Option<StreamMessage> {
+async fn query_control(handle: &NodeHandle, message: StreamMessage) -> Option<StreamMessage> {
     let (tx, rx) = flume::bounded(1);
     handle.tx.send(Input::Stream { message, tx }).ok()?;
     rx.recv_async().await.ok()
 }
 
-/// 200 while the process takes new work under settings in force, else 503.
+/// Responds 200 while the process accepts new work and has settings in force, otherwise 503.
 async fn health(State(handle): State<NodeHandle>) -> impl IntoResponse {
-    match ask(&handle, StreamMessage::GetStatus).await {
+    match query_control(&handle, StreamMessage::GetStatus).await {
         Some(StreamMessage::Status(status)) if status.revision.0 == 0 => {
             (StatusCode::SERVICE_UNAVAILABLE, "no settings in force\n")
         }
@@ -48,21 +48,21 @@
 }
 
 async fn status(State(handle): State<NodeHandle>) -> impl IntoResponse {
-    match ask(&handle, StreamMessage::GetStatus).await {
+    match query_control(&handle, StreamMessage::GetStatus).await {
         Some(StreamMessage::Status(status)) => Json(status).into_response(),
         _ => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
 async fn members(State(handle): State<NodeHandle>) -> impl IntoResponse {
-    match ask(&handle, StreamMessage::GetMembers).await {
+    match query_control(&handle, StreamMessage::GetMembers).await {
         Some(StreamMessage::Members(members)) => Json(members).into_response(),
         _ => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
 async fn events(State(handle): State<NodeHandle>) -> impl IntoResponse {
-    match ask(&handle, StreamMessage::GetEvents).await {
+    match query_control(&handle, StreamMessage::GetEvents).await {
         Some(StreamMessage::Events { events, .. }) => Json(events).into_response(),
         _ => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
--- a/crates/dillmill-node/src/client.rs
+++ b/crates/dillmill-node/src/client.rs
@@ -1,4 +1,4 @@
-//! One question to one process over TCP.
+//! Client for a single request to a process over TCP.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -7,36 +7,36 @@
 
 use crate::{Framed, NodeError};
 
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks the process at `to` and returns its answer.
+/// Connects to the process at `to`, sends a request and returns the response.
 ///
 /// # Errors
 ///
-/// Fails when the process can't be reached or does not answer within two seconds.
+/// Fails if the process can't be reached or does not respond within two seconds.
 pub async fn send_request(
     to: SocketAddrV4,
     key: &ClusterKey,
-    question: &StreamMessage,
+    request: &StreamMessage,
 ) -> Result<StreamMessage, NodeError> {
-    exchange(Framed::connect(to, key.clone()).await?, question).await
+    exchange(Framed::connect(to, key.clone()).await?, request).await
 }
 
-/// Asks the process at the other end of a connection and returns its answer.
+/// Sends a request on a connection and returns the response.
 ///
 /// # Errors
 ///
-/// Fails when the process does not answer within two seconds.
+/// Fails if the process does not respond within two seconds.
 pub async fn exchange(
     mut framed: Framed,
-    question: &StreamMessage,
+    request: &StreamMessage,
 ) -> Result<StreamMessage, NodeError> {
     let peer = framed.peer().to_owned();
     let exchange = async {
-        framed.send(question).await?;
+        framed.send(request).await?;
         framed.receive().await
     };
-    compio::time::timeout(ANSWER_TIMEOUT, exchange)
+    compio::time::timeout(RESPONSE_TIMEOUT, exchange)
         .await
         .map_err(|_| NodeError::new("ask", peer, "no answer"))?
 }
--- a/crates/dillmill-node/src/clock.rs
+++ b/crates/dillmill-node/src/clock.rs
@@ -1,10 +1,10 @@
-//! The clock of a process.
+//! The clock from which a process reads the time.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use dillmill_core::Timestamp;
 
-/// The only place where a process reads the time.
+/// A clock that never goes back; the only place where a process reads the time.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -12,14 +12,14 @@
 }
 
 impl Clock {
-    /// Starts a clock at the system's time.
+    /// Starts a clock at the current system time.
     #[must_use]
     pub fn start() -> Self {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { started: Instant::now(), epoch: Timestamp::default() + since }
     }
 
-    /// Returns the present time, which never goes back.
+    /// Returns the current time, which never goes back, even if the system time does.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.epoch + self.started.elapsed()
--- a/crates/dillmill-node/src/config.rs
+++ b/crates/dillmill-node/src/config.rs
@@ -1,4 +1,4 @@
-//! A process's own settings: what it must know before it can read the tree.
+//! The settings file of a process: what it must know before it can read the settings tree.
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -12,53 +12,54 @@
 
 use crate::NodeError;
 
-/// Least level that is logged.
+/// Lowest level that is logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Failures that an operator must see.
+    /// Failures that need an operator's attention.
     Error,
-    /// What may need an operator.
+    /// Conditions that may need an operator's attention.
     Warn,
-    /// What changes: settings, members, start and stop.
+    /// Changes of settings and members, start and stop.
     #[default]
     Info,
-    /// Each refused or handed-over request too.
+    /// Also each refused or forwarded request.
     Debug,
 }
 
-/// The settings file of a process.
+/// Content of the settings file of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessConfig {
     /// Name of the VM.
     pub vm: VmName,
-    /// Data centre.
+    /// Name of the data centre.
     pub zone: ZoneName,
     /// Address for messages between processes, UDP and TCP.
     pub control: SocketAddrV4,
-    /// Address for packets of flows between balancers and agents, UDP.
+    /// Address for the packets of flows between balancers and agents, UDP.
     pub data: SocketAddrV4,
-    /// Address of the administration page, HTTP; on loopback unless set otherwise.
+    /// Address of the administration page, HTTP; a free port on loopback if not set.
     #[serde(default)]
     pub admin: Option<SocketAddrV4>,
-    /// The platform, such as `http://10.0.0.1:8000`.
+    /// URL of the platform, such as `http://10.0.0.1:8000`.
     pub platform: String,
     /// Key of the installation, 64 hexadecimal digits.
     pub cluster_key: Secret,
-    /// Control addresses of processes to join through; some may be gone.
+    /// Control addresses of processes to join through; some may no longer exist.
     #[serde(default)]
     pub peers: Vec<SocketAddrV4>,
-    /// Processes of the whole fleet that hold a watch at the platform; the same everywhere.
+    /// Number of processes of the whole fleet that hold a watch at the platform; must be the same in all
+    /// settings files.
     #[serde(default = "default_watchers")]
     pub watchers: usize,
-    /// Least level that is logged.
+    /// Lowest level that is logged.
     #[serde(default)]
     pub log: LogLevel,
-    /// For a balancer.
+    /// Settings of a balancer.
     #[serde(default)]
     pub balancer: Option<BalancerConfig>,
-    /// For an agent.
+    /// Settings of an agent.
     #[serde(default)]
     pub agent: Option<AgentConfig>,
 }
@@ -67,16 +68,16 @@
     watcher_selection::WATCHERS
 }
 
-/// What only a balancer needs.
+/// Settings that only a balancer needs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BalancerConfig {
-    /// Address to bind in place of each service's own, with the service's port.
+    /// Address to bind instead of each service's own address, with the service's port.
     #[serde(default)]
     pub bind: Option<Ipv4Addr>,
 }
 
-/// What only an agent needs.
+/// Settings that only an agent needs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentConfig {
@@ -91,17 +92,17 @@
     ///
     /// # Errors
     ///
-    /// Names the file, and the line and key of what is wrong.
+    /// Fails if the file can't be read or a setting is invalid; the error names the file, line and key.
     pub fn open(path: &Path) -> Result<Self, Report<NodeError>> {
         let text = fs::read_to_string(path).map_err(NodeError::io("read", path.display()))?;
         Ok(Self::parse(&text, &path.display().to_string())?)
     }
 
-    /// Reads and checks settings; `name` is for errors.
+    /// Parses and checks settings; errors contain `name` as the file's name.
     ///
     /// # Errors
     ///
-    /// As [`ProcessConfig::open`].
+    /// Fails if a setting is invalid, as [`ProcessConfig::open`].
     pub fn parse(text: &str, name: &str) -> Result<Self, NodeError> {
         let at = |line: Option<usize>| line.map_or(name.to_owned(), |n| format!("{name}:{n}"));
         let config: Self = yaml::read(text).map_err(|e| {
@@ -115,7 +116,7 @@
             return refuse("cluster_key", e.to_string());
         }
         if config.control == config.data {
-            return refuse("data", format!("{} is the control address too", config.data));
+            return refuse("data", format!("{} is also the control address", config.data));
         }
         if config.watchers == 0 {
             return refuse("watchers", "at least 1 process must watch the platform".to_owned());
@@ -133,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// Fails on a key that [`ProcessConfig::parse`] would have refused.
+    /// Fails if the key is one that [`ProcessConfig::parse`] rejects.
     pub fn key(&self) -> Result<ClusterKey, NodeError> {
         ClusterKey::from_hex(self.cluster_key.reveal())
             .map_err(|e| NodeError::new("check", "cluster_key", e))
--- a/crates/dillmill-node/src/control.rs
+++ b/crates/dillmill-node/src/control.rs
@@ -1,4 +1,8 @@
-//! The control task: owns the view of members and settings, spreads both, answers questions.
+//! The control task, which owns a process's view of the members, settings and evacuation orders.
+//!
+//! It handles one `Input` after the other: it runs the membership protocol, distributes settings and
+//! orders to peers, responds to requests about the process, and publishes a new [`View`] to the other
+//! tasks when something has changed.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -27,19 +31,20 @@
 
 const TIMELINE_CAPACITY: usize = 4096;
 const MAX_DATAGRAM: usize = 8 * 1024;
-const ASK_LIFETIME: Duration = Duration::from_secs(10);
-/// Inputs that are taken in before the other tasks are told of their outcome.
-const INPUTS_AT_ONCE: usize = 64;
-/// Time between two views: when everything starts, members change with each datagram, and each view costs every task
-/// a look at all of them.
-const VIEW_EVERY: Duration = Duration::from_millis(20);
-/// Changes of members that are logged one by one, of those that come together: of newcomers only the number is told if
-/// there are more.
-const CHANGES_LOGGED: usize = 8;
+const REQUEST_LIFETIME: Duration = Duration::from_secs(10);
+/// Number of queued inputs that are handled after the first one before a view is published.
+const MAX_INPUT_BATCH: usize = 64;
+/// Minimum time between two views. While the whole fleet starts, members change with each datagram, and
+/// with each view every task goes through all members.
+const VIEW_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of member changes of one batch that are logged one by one.
+///
+/// If a batch has more, new members are only counted, as are the other changes beyond this limit.
+const MAX_LOGGED_CHANGES: usize = 8;
 
-/// What the last view for the other tasks was made of.
+/// Versions of the data in the last published view, used to detect changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Shown {
+pub(crate) struct PublishedState {
     members: u64,
     settings: Revision,
     evacuations: Option<Revision>,
@@ -55,27 +60,31 @@
     pub(crate) tree: Tree,
     pub(crate) settings: Option<Arc<dillmill_settings::CompiledTree>>,
     pub(crate) routes: Option<Arc<RouteTree>>,
-    /// Data centres that are to get no new flows; `None` until somebody has told.
+    /// Data centres that get no new flows; `None` until the store or a peer has reported them.
     pub(crate) evacuations: Option<Arc<Evacuations>>,
-    /// Revision of routes that a peer was asked for, and when.
-    pub(crate) routes_asked: Option<(Revision, Timestamp)>,
-    pub(crate) recent: VecDeque<Change>,
+    /// Route revision for which a peer was last asked to synchronise, and when.
+    pub(crate) routes_requested: Option<(Revision, Timestamp)>,
+    /// Latest applied settings changes, oldest first, from which peers are served.
+    pub(crate) recent_changes: VecDeque<Change>,
     pub(crate) events: EventLog,
     pub(crate) role_channels: Option<RoleChannels>,
     pub(crate) subscribers: Vec<ViewSender>,
-    pub(crate) asks: HashMap<u64, (flume::Sender<Reply>, Timestamp)>,
-    pub(crate) pulled: Option<(Revision, SocketAddrV4, Timestamp)>,
+    /// Requests to peers that wait for a reply, by identifier, with the time of the first transmission.
+    pub(crate) pending_requests: HashMap<u64, (flume::Sender<Reply>, Timestamp)>,
+    /// Pull whose changes have not arrived yet: revision that they follow, peer, and time of the pull.
+    pub(crate) pending_pull: Option<(Revision, SocketAddrV4, Timestamp)>,
     pub(crate) platform_reachable: bool,
-    pub(crate) shown: Option<Shown>,
-    pub(crate) shown_at: Timestamp,
-    /// Changes of records that the metrics hold.
-    pub(crate) counted: u64,
-    /// A timer for the next view runs.
-    pub(crate) shows_later: bool,
-    /// When comparisons were answered lately.
-    pub(crate) answered: VecDeque<Timestamp>,
-    /// Until then the process has not said what it does, and is not made known.
-    pub(crate) quiet_until: Timestamp,
+    pub(crate) published: Option<PublishedState>,
+    pub(crate) published_at: Timestamp,
+    /// Number of member record changes that have been added to the metrics.
+    pub(crate) changes_counted: u64,
+    /// Whether a timer for the next view is running.
+    pub(crate) publish_scheduled: bool,
+    /// Times of the synchronisations with peers that were answered recently.
+    pub(crate) recent_syncs: VecDeque<Timestamp>,
+    /// Time before which the process is not announced to peers, as its record does not say yet what it does.
+    /// The first change of its own record ends the delay.
+    pub(crate) announce_after: Timestamp,
     pub(crate) settings_source: SettingsSource,
     pub(crate) settled: bool,
 }
@@ -87,7 +96,7 @@
         me: Member,
         seeds: Vec<SocketAddrV4>,
         settings_source: SettingsSource,
-        quiet_until: Timestamp,
+        announce_after: Timestamp,
     ) -> Self {
         Self {
             handle,
@@ -97,20 +106,20 @@
             settings: None,
             routes: None,
             evacuations: None,
-            routes_asked: None,
-            recent: VecDeque::new(),
+            routes_requested: None,
+            recent_changes: VecDeque::new(),
             events: EventLog::new(TIMELINE_CAPACITY),
             role_channels: None,
             subscribers: Vec::new(),
-            asks: HashMap::new(),
-            pulled: None,
+            pending_requests: HashMap::new(),
+            pending_pull: None,
             platform_reachable: false,
-            shown: None,
-            shown_at: Timestamp::default(),
-            counted: 0,
-            shows_later: false,
-            answered: VecDeque::new(),
-            quiet_until,
+            published: None,
+            published_at: Timestamp::default(),
+            changes_counted: 0,
+            publish_scheduled: false,
+            recent_syncs: VecDeque::new(),
+            announce_after,
             settings_source,
             settled: false,
         }
@@ -118,34 +127,35 @@
 
     pub(crate) async fn run(mut self, rx: flume::Receiver<Input>) {
         while let Ok(input) = rx.recv_async().await {
-            self.take(input, self.handle.clock.now()).await;
-            for input in rx.try_iter().take(INPUTS_AT_ONCE) {
-                self.take(input, self.handle.clock.now()).await;
+            self.handle_input(input, self.handle.clock.now()).await;
+            for input in rx.try_iter().take(MAX_INPUT_BATCH) {
+                self.handle_input(input, self.handle.clock.now()).await;
             }
             let now = self.handle.clock.now();
             self.record_member_changes();
-            self.note_settled(now);
+            self.update_settled(now);
             self.publish(now);
         }
     }
 
-    fn note_settled(&mut self, now: Timestamp) {
+    fn update_settled(&mut self, now: Timestamp) {
         let before = std::mem::replace(&mut self.settled, self.membership.settled(now));
         if before != self.settled {
             let what =
                 if self.settled { "knows all processes" } else { "may not know all processes" };
-            let cause = format!("{} known, as far as can be told", self.membership.fleet());
+            let cause =
+                format!("{} processes known, as far as can be told", self.membership.fleet());
             self.handle.journal.record(EventKind::Member, what, cause);
         }
     }
 
-    async fn take(&mut self, input: Input, now: Timestamp) {
+    async fn handle_input(&mut self, input: Input, now: Timestamp) {
         match input {
-            Input::Datagram { from, message } => self.datagram(from, message, now).await,
-            Input::Stream { message, tx } => self.answer_stream(message, &tx, now),
-            Input::IncomingForward(handed) => {
+            Input::Datagram { from, message } => self.handle_datagram(from, message, now).await,
+            Input::Stream { message, tx } => self.respond_to_stream(message, &tx, now),
+            Input::IncomingForward(forward) => {
                 if let Some(role_channels) = &self.role_channels {
-                    let _ = role_channels.handed.send(*handed);
+                    let _ = role_channels.handed.send(*forward);
                 }
             }
             Input::Tick => self.tick(now).await,
@@ -159,23 +169,23 @@
                 let me = Box::new(self.membership.me().clone());
                 self.send(to, &Message::Flow(FlowMessage::AskRecords { me })).await;
             }
-            Input::Await { id, tx } => {
-                self.asks.insert(id, (tx, now));
+            Input::AwaitReply { id, tx } => {
+                self.pending_requests.insert(id, (tx, now));
             }
             Input::Settings { source, changes, tree } => {
-                self.take_settings(&source, changes, tree).await;
+                self.apply_settings(&source, changes, tree).await;
             }
-            Input::Routes { source, routes } => self.take_routes(&source, routes).await,
+            Input::Routes { source, routes } => self.apply_routes(&source, routes).await,
             Input::Evacuations { source, evacuations } => {
-                self.take_evacuations(&source, evacuations).await;
+                self.apply_evacuations(&source, evacuations).await;
             }
-            Input::EvacuationChanges(changes) => self.take_evacuation_changes(&changes).await,
+            Input::EvacuationChanges(changes) => self.apply_evacuation_changes(&changes).await,
             Input::UpdateMe(change) => {
-                self.quiet_until = now;
+                self.announce_after = now;
                 self.membership.update_me(change);
                 self.tick(now).await;
             }
-            Input::Publish => self.shows_later = false,
+            Input::Publish => self.publish_scheduled = false,
             Input::StoredSize(stored) => self.membership.set_stored_size(stored),
             Input::Seeds(seeds) => {
                 self.membership.add_seeds(seeds);
@@ -183,12 +193,12 @@
                 self.send_all(joins).await;
             }
             Input::SyncFailed => {
-                self.routes_asked = None;
+                self.routes_requested = None;
                 self.membership.retry_sync(now);
             }
             Input::Members(members) => self.membership.learn_from_sync(members, now),
             Input::Event { now, kind, what, cause } => self.events.push(now, kind, what, cause),
-            Input::Platform { reachable, cause } => self.platform(reachable, cause),
+            Input::Platform { reachable, cause } => self.set_platform_reachable(reachable, cause),
             Input::Leave => self.set_status(MemberStatus::Leaving, now).await,
             Input::Serve => self.set_status(MemberStatus::Serving, now).await,
             Input::Stopped(tx) => {
@@ -201,11 +211,11 @@
     async fn set_status(&mut self, status: MemberStatus, now: Timestamp) {
         self.membership.update_me(|me| me.status = status);
         let what = format!("{} is {status}", self.membership.me().vm);
-        self.handle.journal.record(EventKind::Process, what, "own word");
+        self.handle.journal.record(EventKind::Process, what, "set by the process itself");
         self.tick(now).await;
     }
 
-    fn platform(&mut self, reachable: bool, cause: String) {
+    fn set_platform_reachable(&mut self, reachable: bool, cause: String) {
         if self.platform_reachable != reachable {
             self.platform_reachable = reachable;
             let what = if reachable { "platform answers" } else { "platform does not answer" };
@@ -213,10 +223,10 @@
         }
     }
 
-    async fn datagram(&mut self, from: SocketAddrV4, message: Message, now: Timestamp) {
+    async fn handle_datagram(&mut self, from: SocketAddrV4, message: Message, now: Timestamp) {
         match message {
             Message::Probe(probe) => {
-                self.learn_revision(from, &probe, now).await;
+                self.compare_revisions(from, &probe, now).await;
                 let out = with_random_index(|draw| self.membership.receive(from, probe, now, draw));
                 self.send_all(out).await;
                 self.sync_if_wanted();
@@ -235,11 +245,11 @@
                 }
             }
             Message::Evacuations(evacuations) => {
-                self.take_evacuations(&format!("peer {from}"), evacuations).await;
+                self.apply_evacuations(&format!("peer {from}"), evacuations).await;
             }
             Message::Pull { after } => self.send_changes(from, after).await,
             Message::Changes(changes) => {
-                self.take_settings(&format!("peer {from}"), changes, None).await;
+                self.apply_settings(&format!("peer {from}"), changes, None).await;
             }
             Message::PeerRequest { id, to, service, ask } => {
                 if to == self.membership.me().process
@@ -254,7 +264,7 @@
                 }
             }
             Message::Reply { id, reply } => {
-                if let Some((tx, _)) = self.asks.remove(&id) {
+                if let Some((tx, _)) = self.pending_requests.remove(&id) {
                     let _ = tx.send(reply);
                 }
             }
@@ -262,13 +272,13 @@
     }
 
     async fn tick(&mut self, now: Timestamp) {
-        self.note_busy(now);
-        if now < self.quiet_until {
+        self.update_busy(now);
+        if now < self.announce_after {
             return;
         }
         let out = with_random_index(|draw| self.membership.tick(now, draw));
         self.send_all(out).await;
-        self.asks.retain(|_, (_, at)| now.since(*at) < ASK_LIFETIME);
+        self.pending_requests.retain(|_, (_, at)| now.since(*at) < REQUEST_LIFETIME);
         self.sync_if_wanted();
         self.sync_if_pull_failed(now);
     }
@@ -276,7 +286,7 @@
     fn status(&self) -> ProcessStatus {
         ProcessStatus {
             member: self.membership.me().clone(),
-            revision: self.in_force(),
+            revision: self.revision_in_force(),
             evacuations: self.evacuations.as_deref().cloned().unwrap_or_default(),
             platform_reachable: self.platform_reachable,
             flows: u64::try_from(self.handle.metrics.flows.get()).unwrap_or(0),
@@ -291,15 +301,15 @@
     }
 
     fn record_member_changes(&mut self) {
-        let new = self.membership.generation() - self.counted;
-        self.counted += new;
+        let new = self.membership.generation() - self.changes_counted;
+        self.changes_counted += new;
         self.handle.metrics.record_changes.inc_by(new);
         let mut changes = self.membership.take_changes();
-        if changes.len() > CHANGES_LOGGED {
+        if changes.len() > MAX_LOGGED_CHANGES {
             let all = changes.len();
             changes.retain(|change| change.before.is_some());
             let newcomers = all - changes.len();
-            changes.truncate(CHANGES_LOGGED);
+            changes.truncate(MAX_LOGGED_CHANGES);
             let rest = all - newcomers - changes.len();
             let what = format!("{newcomers} newcomers, {rest} more changes of members");
             self.handle.journal.record(EventKind::Member, what, "more than the log takes at once");
@@ -307,8 +317,10 @@
         for change in changes {
             let cause = match change.member.status {
                 MemberStatus::Suspect => "no answer to probes",
-                MemberStatus::Down => "silent, replaced, or own word",
-                MemberStatus::Serving | MemberStatus::Leaving | MemberStatus::Empty => "own word",
+                MemberStatus::Down => "no answer, replaced, or reported by the process itself",
+                MemberStatus::Serving | MemberStatus::Leaving | MemberStatus::Empty => {
+                    "reported by the process itself"
+                }
             };
             self.handle.journal.record(EventKind::Member, describe(&change), cause);
         }
@@ -327,37 +339,37 @@
         }
     }
 
-    /// Shows the other tasks what has changed; what changes right behind it is shown a moment later.
+    /// Publishes a view if something has changed; changes within [`VIEW_INTERVAL`] are published after it.
     fn publish(&mut self, now: Timestamp) {
-        let state = Shown {
+        let state = PublishedState {
             members: self.membership.generation(),
-            settings: self.in_force(),
+            settings: self.revision_in_force(),
             evacuations: self.evacuations.as_ref().map(|known| known.revision()),
             settled: self.settled,
             stored_size: self.membership.stored_size().version,
         };
-        if self.shown == Some(state) {
+        if self.published == Some(state) {
             return;
         }
-        let wait = VIEW_EVERY.saturating_sub(now.since(self.shown_at));
-        if self.shown.is_some() && !wait.is_zero() {
-            return self.publish_later(wait);
+        let wait = VIEW_INTERVAL.saturating_sub(now.since(self.published_at));
+        if self.published.is_some() && !wait.is_zero() {
+            return self.schedule_publish(wait);
         }
-        self.shown = Some(state);
-        self.shown_at = now;
+        self.published = Some(state);
+        self.published_at = now;
         self.handle.metrics.views.inc();
         let view = Arc::new(self.view());
         self.subscribers.retain(|tx| tx.send(view.clone()));
     }
 
-    fn publish_later(&mut self, wait: Duration) {
-        if std::mem::replace(&mut self.shows_later, true) {
+    fn schedule_publish(&mut self, wait: Duration) {
+        if std::mem::replace(&mut self.publish_scheduled, true) {
             return;
         }
         let tx = self.handle.tx.clone();
         compio::runtime::spawn(async move {
             compio::time::sleep(wait).await;
-            // Fails only when the process ends.
+            // Fails only if the control task has ended.
             let _ = tx.send(Input::Publish);
         })
         .detach();
@@ -373,12 +385,12 @@
         let Ok(bytes) = self.handle.key.seal(message) else { return };
         if bytes.len() > MAX_DATAGRAM {
             let what = format!("datagram of {} bytes to {to} not sent", bytes.len());
-            self.handle.journal.record(EventKind::Process, what, "longer than 8 KiB");
+            self.handle.journal.record(EventKind::Process, what, "exceeds 8 KiB");
             return;
         }
         self.handle.metrics.control_sent.inc_by(bytes.len() as u64);
         self.handle.metrics.traffic.sent_unqueued(TrafficKind::from(message), bytes.len());
-        // A datagram that can't be sent is as one that was lost: whoever needs it asks again.
+        // A datagram that can't be sent counts as lost: the process that needs it requests it again.
         let _ = self.socket.send_to(bytes, std::net::SocketAddr::V4(to)).await;
     }
 }
--- a/crates/dillmill-node/src/control/input.rs
+++ b/crates/dillmill-node/src/control/input.rs
@@ -1,4 +1,4 @@
-//! Everything that the control task takes in.
+//! The messages that the control task handles.
 
 use std::net::SocketAddrV4;
 
@@ -11,108 +11,108 @@
 use crate::handle::RoleChannels;
 use crate::views::ViewSender;
 
-/// Everything that the control task takes in.
+/// A message to the control task.
 pub(crate) enum Input {
-    /// A datagram of a process.
+    /// A datagram from another process.
     Datagram {
-        /// Its sender.
+        /// Sender.
         from: SocketAddrV4,
-        /// Its content.
+        /// Content.
         message: Message,
     },
-    /// A question on a TCP connection.
+    /// A request on a TCP connection or from the administration page.
     Stream {
-        /// The question.
+        /// The request.
         message: StreamMessage,
-        /// Takes the answer.
+        /// Receives the response.
         tx: flume::Sender<StreamMessage>,
     },
-    /// A request handed over on a TCP connection.
+    /// A request that another agent has forwarded on a TCP connection.
     IncomingForward(Box<IncomingForward>),
-    /// Time passes.
+    /// Periodic tick, which drives the membership protocol and time-outs.
     Tick,
-    /// A task wants views.
+    /// Subscribes a task to views; it gets the current one at once.
     Subscribe(ViewSender),
-    /// A role says where questions go.
+    /// Sets the channels on which the role receives its messages.
     RoleChannels(RoleChannels),
-    /// Send a datagram.
+    /// Sends a datagram.
     Send {
         /// Receiver.
         to: SocketAddrV4,
         /// Content.
         message: Message,
     },
-    /// Ask an agent for the flows that this one is to remember.
+    /// Asks an agent for the records of the flows for which this process is the directory.
     AskRecords {
         /// The agent.
         to: SocketAddrV4,
     },
-    /// Take the reply to a question that is sent under this number.
-    Await {
-        /// Number of the question.
+    /// Registers a request to a peer, so that its reply is passed on.
+    AwaitReply {
+        /// Identifier of the request.
         id: u64,
-        /// Takes the reply.
+        /// Receives the reply.
         tx: flume::Sender<Reply>,
     },
-    /// Changes or a tree, from the platform or a peer.
+    /// Settings changes or a whole tree, from the platform or a peer.
     Settings {
-        /// Where they came from.
+        /// Origin, for the log.
         source: String,
         /// Consecutive changes.
         changes: Vec<Change>,
-        /// A whole tree.
+        /// Whole tree, if the changes are not available.
         tree: Option<Tree>,
     },
-    /// A tree of routes, from the platform or a peer.
+    /// A route tree, from the platform or a peer.
     Routes {
-        /// Where it came from.
+        /// Origin, for the log.
         source: String,
-        /// The tree.
+        /// Route tree.
         routes: RouteTree,
     },
-    /// Orders to evacuate data centres, from the platform or a peer.
+    /// All orders to evacuate data centres, from the platform or a peer.
     Evacuations {
-        /// Where they came from.
+        /// Origin, for the log.
         source: String,
-        /// All that hold.
+        /// All orders in force.
         evacuations: Evacuations,
     },
-    /// Changes of these orders, from the platform.
+    /// Changes of the evacuation orders, from the platform.
     EvacuationChanges(Vec<EvacuationChange>),
-    /// Change this process's own record.
+    /// Changes this process's own member record.
     UpdateMe(Box<dyn FnOnce(&mut Member) + Send>),
-    /// Show the other tasks what has changed.
+    /// The timer for the next view has expired; a view is published if something has changed.
     Publish,
-    /// Size of the fleet, from the platform's store.
+    /// Fleet size read from the platform's store.
     StoredSize(StoredSize),
-    /// Join through these control addresses besides the ones of the settings.
+    /// Control addresses to join through, in addition to those in the settings.
     Seeds(Vec<SocketAddrV4>),
-    /// A peer did not compare its records with ours.
+    /// Synchronisation with a peer has failed.
     SyncFailed,
-    /// Member records from a peer.
+    /// Member records learned by synchronisation with a peer.
     Members(Vec<Member>),
-    /// An event of another task.
+    /// An event for the timeline, reported by any task.
     Event {
-        /// When.
+        /// Time of the event.
         now: Timestamp,
-        /// Kind.
+        /// Kind of the event.
         kind: EventKind,
-        /// What.
+        /// What happened.
         what: String,
-        /// Why.
+        /// Cause of the event.
         cause: String,
     },
-    /// Whether the platform answered.
+    /// Result of a call to the platform.
     Platform {
-        /// It did.
+        /// Whether the platform answered.
         reachable: bool,
-        /// What it said.
+        /// Answer or error, for the log.
         cause: String,
     },
-    /// Take no new work.
+    /// Sets the status to leaving: the process accepts no new work.
     Leave,
-    /// Take new work.
+    /// Sets the status to serving: the process accepts new work.
     Serve,
-    /// The process ends.
+    /// Sets the status to down and announces it, then confirms on the channel.
     Stopped(flume::Sender<()>),
 }
--- a/crates/dillmill-node/src/control/peer_sync.rs
+++ b/crates/dillmill-node/src/control/peer_sync.rs
@@ -1,4 +1,4 @@
-//! Records, settings and routes compared with a peer.
+//! Synchronises member records, settings, routes and evacuation orders with a peer over TCP.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -13,9 +13,10 @@
 use crate::handle::with_random_index;
 use crate::{Framed, client};
 
-/// Comparisons answered within [`BUSY_FOR`] from which on newcomers are sent to others for what is new to them.
-const BUSY: usize = 8;
-const BUSY_FOR: Duration = Duration::from_millis(100);
+/// Number of synchronisations answered within [`BUSY_WINDOW`] at which this process becomes busy. Newcomers
+/// are then referred to other processes for what is new to them.
+const BUSY_SYNCS: usize = 8;
+const BUSY_WINDOW: Duration = Duration::from_millis(100);
 
 impl Control {
     pub(super) fn sync_if_wanted(&mut self) {
@@ -25,7 +26,7 @@
     }
 
     pub(super) fn sync_with(&self, peer: SocketAddrV4) {
-        let question = StreamMessage::Sync {
+        let request = StreamMessage::Sync {
             buckets: self.membership.buckets(rand::rng().random()),
             after: self.revision(),
             me: self.membership.me().clone(),
@@ -33,18 +34,18 @@
         self.handle.metrics.syncs_asked.inc();
         let handle = self.handle.clone();
         compio::runtime::spawn(async move {
-            let answer = match Framed::connect(peer, handle.key.clone()).await {
+            let response = match Framed::connect(peer, handle.key.clone()).await {
                 Ok(framed) => {
-                    let framed = framed.counted(&handle.metrics.traffic);
-                    client::exchange(framed, &question).await
+                    let framed = framed.with_traffic(&handle.metrics.traffic);
+                    client::exchange(framed, &request).await
                 }
                 Err(e) => Err(e),
             };
-            if answer.is_err() {
+            if response.is_err() {
                 let _ = handle.tx.send(Input::SyncFailed);
             }
             if let Ok(StreamMessage::SyncReply { members, changes, tree, routes, evacuations }) =
-                answer
+                response
             {
                 let _ = handle.tx.send(Input::Members(members));
                 let source = format!("peer {peer}");
@@ -60,19 +61,19 @@
         .detach();
     }
 
-    pub(super) fn answer_stream(
+    pub(super) fn respond_to_stream(
         &mut self,
         message: StreamMessage,
         tx: &flume::Sender<StreamMessage>,
         now: Timestamp,
     ) {
-        let answer = match message {
+        let response = match message {
             StreamMessage::Sync { buckets, after, me } => {
                 self.handle.metrics.syncs_answered.inc();
-                self.answered.push_back(now);
-                self.note_busy(now);
+                self.recent_syncs.push_back(now);
+                self.update_busy(now);
                 self.membership.learn(me, now);
-                self.synced(&buckets, after)
+                self.sync_reply(&buckets, after)
             }
             StreamMessage::GetStatus => StreamMessage::Status(Box::new(self.status())),
             StreamMessage::GetMembers => {
@@ -84,13 +85,13 @@
             },
             _ => return,
         };
-        let _ = tx.send(answer);
+        let _ = tx.send(response);
     }
 
-    pub(super) fn synced(&self, buckets: &RecordBuckets, after: Revision) -> StreamMessage {
+    pub(super) fn sync_reply(&self, buckets: &RecordBuckets, after: Revision) -> StreamMessage {
         let members = self.membership.differing(buckets);
         let changes: Vec<Change> =
-            self.recent.iter().filter(|change| change.revision > after).cloned().collect();
+            self.recent_changes.iter().filter(|change| change.revision > after).cloned().collect();
         let follows = changes.first().is_some_and(|change| change.revision == after.next());
         let routes = self.routes.as_ref().filter(|r| r.revision() > after);
         let routes = routes.map(|r| RouteTree::clone(r));
@@ -105,10 +106,10 @@
         StreamMessage::SyncReply { members, changes, tree, routes, evacuations }
     }
 
-    pub(super) fn note_busy(&mut self, now: Timestamp) {
-        while self.answered.front().is_some_and(|at| now.since(*at) >= BUSY_FOR) {
-            self.answered.pop_front();
+    pub(super) fn update_busy(&mut self, now: Timestamp) {
+        while self.recent_syncs.front().is_some_and(|at| now.since(*at) >= BUSY_WINDOW) {
+            self.recent_syncs.pop_front();
         }
-        self.membership.set_busy(self.answered.len() >= BUSY);
+        self.membership.set_busy(self.recent_syncs.len() >= BUSY_SYNCS);
     }
 }
--- a/crates/dillmill-node/src/control/settings.rs
+++ b/crates/dillmill-node/src/control/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and routes: taken in, put in force, passed on.
+//! Applies settings changes and routes and distributes them to peers.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -16,44 +16,51 @@
 const RECENT_CHANGES: usize = 128;
 const CHANGES_PER_DATAGRAM: usize = 8;
 const MAX_CHANGES_TEXT: usize = 6 * 1024;
-const PULL_PATIENCE: Duration = Duration::from_millis(250);
+const PULL_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Control {
-    /// A peer that shows a higher revision is asked for what it has.
-    pub(super) async fn learn_revision(
+    /// Compares a peer's advertised revisions with this process's own.
+    ///
+    /// Requests newer settings or routes from the peer, and sends it newer evacuation orders.
+    pub(super) async fn compare_revisions(
         &mut self,
         from: SocketAddrV4,
         probe: &Probe,
         now: Timestamp,
     ) {
         let (Probe::Ping { digest, .. } | Probe::Ack { digest, .. }) = probe else { return };
-        self.correct_evacuations(from, digest.evacuations).await;
+        self.send_newer_evacuations(from, digest.evacuations).await;
         if self.settings_source == SettingsSource::Routes {
-            self.ask_for_routes(from, digest.revision, now);
+            self.request_routes(from, digest.revision, now);
         } else if digest.revision > self.tree.revision {
             if digest.revision.0 - self.tree.revision.0 > CHANGES_PER_DATAGRAM as u64 {
                 self.sync_with(from);
             } else {
                 let after = self.tree.revision;
-                self.pulled.get_or_insert((after, from, self.handle.clock.now()));
+                self.pending_pull.get_or_insert((after, from, self.handle.clock.now()));
                 self.send(from, &Message::Pull { after }).await;
             }
         }
     }
 
-    /// Asks a peer for its routes, unless a peer is being asked for as new ones.
-    pub(super) fn ask_for_routes(&mut self, from: SocketAddrV4, shown: Revision, now: Timestamp) {
+    /// Requests a peer's routes, unless a request for the same or a newer revision is pending.
+    pub(super) fn request_routes(
+        &mut self,
+        from: SocketAddrV4,
+        advertised: Revision,
+        now: Timestamp,
+    ) {
         let asked = self
-            .routes_asked
-            .is_some_and(|(revision, at)| shown <= revision && now.since(at) < PULL_PATIENCE);
-        if shown > self.revision() && !asked {
-            self.routes_asked = Some((shown, now));
+            .routes_requested
+            .is_some_and(|(revision, at)| advertised <= revision && now.since(at) < PULL_TIMEOUT);
+        if advertised > self.revision() && !asked {
+            self.routes_requested = Some((advertised, now));
             self.sync_with(from);
         }
     }
 
-    /// Puts newer routes in force and shows their revision to peers, which then ask for them.
-    pub(super) async fn take_routes(&mut self, source: &str, routes: RouteTree) {
+    /// Puts newer routes in force and advertises their revision to peers, which then request them.
+    pub(super) async fn apply_routes(&mut self, source: &str, routes: RouteTree) {
         let revision = routes.revision();
         if self.routes.as_ref().is_some_and(|old| old.revision() >= revision) {
             return;
@@ -71,20 +78,21 @@
         self.routes.as_ref().map_or(self.tree.revision, |routes| routes.revision())
     }
 
-    /// Changes that a peer has and that don't come by datagram, lost or too long, come by stream.
+    /// Requests changes by stream if a peer has not delivered them by datagram in time, because the datagram
+    /// was lost or would be too long.
     pub(super) fn sync_if_pull_failed(&mut self, now: Timestamp) {
-        let Some((after, peer, at)) = self.pulled else { return };
+        let Some((after, peer, at)) = self.pending_pull else { return };
         if after < self.tree.revision {
-            self.pulled = None;
-        } else if now.since(at) >= PULL_PATIENCE {
-            self.pulled = None;
+            self.pending_pull = None;
+        } else if now.since(at) >= PULL_TIMEOUT {
+            self.pending_pull = None;
             self.sync_with(peer);
         }
     }
 
     pub(super) async fn send_changes(&mut self, to: SocketAddrV4, after: Revision) {
         let changes: Vec<Change> = self
-            .recent
+            .recent_changes
             .iter()
             .filter(|change| change.revision > after)
             .take(CHANGES_PER_DATAGRAM)
@@ -99,8 +107,8 @@
         }
     }
 
-    /// Takes newer settings into force; what does not follow the present revision is not used.
-    pub(super) async fn take_settings(
+    /// Applies newer settings; changes that do not follow the current revision are ignored.
+    pub(super) async fn apply_settings(
         &mut self,
         source: &str,
         changes: Vec<Change>,
@@ -111,7 +119,7 @@
             && tree.revision > self.tree.revision
         {
             self.tree = tree;
-            self.recent.clear();
+            self.recent_changes.clear();
         }
         let mut applied = Vec::new();
         for change in changes {
@@ -123,9 +131,9 @@
             return;
         }
         self.put_in_force(source, &applied);
-        self.recent.extend(applied.iter().cloned());
-        while self.recent.len() > RECENT_CHANGES {
-            self.recent.pop_front();
+        self.recent_changes.extend(applied.iter().cloned());
+        while self.recent_changes.len() > RECENT_CHANGES {
+            self.recent_changes.pop_front();
         }
         self.push_changes(applied).await;
     }
@@ -143,13 +151,13 @@
             }
             Err(problems) => {
                 let cause = problems.first().map_or(String::new(), ToString::to_string);
-                let what = format!("revision {revision} can't be read; the one before stays");
+                let what = format!("revision {revision} is invalid; the previous one is kept");
                 self.handle.journal.record(EventKind::Settings, what, cause);
             }
         }
     }
 
-    /// Passes new changes on at once; peers pull what does not fit a datagram.
+    /// Sends new changes to peers at once; peers pull changes that do not fit into a datagram.
     pub(super) async fn push_changes(&mut self, changes: Vec<Change>) {
         let length: usize = changes.iter().filter_map(|c| c.text.as_ref()).map(String::len).sum();
         let fits = changes.len() <= CHANGES_PER_DATAGRAM && length <= MAX_CHANGES_TEXT;
@@ -164,7 +172,7 @@
         }
     }
 
-    pub(super) fn in_force(&self) -> Revision {
+    pub(super) fn revision_in_force(&self) -> Revision {
         let tree = self.settings.as_ref().map_or(Revision(0), |tree| tree.revision());
         tree.max(self.routes.as_ref().map_or(Revision(0), |routes| routes.revision()))
     }
--- a/crates/dillmill-node/src/error.rs
+++ b/crates/dillmill-node/src/error.rs
@@ -1,16 +1,16 @@
-//! Errors of the parts that all processes share.
+//! The error type of the code that all processes share.
 
 use std::fmt;
 use std::io;
 
-/// What failed, in which step and with which peer.
+/// A failed step, the peer that it concerned, and the cause.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeError {
-    /// What was being done.
+    /// Step that failed.
     pub step: &'static str,
-    /// The file, address or process it was done with.
+    /// File, address or process that the step concerned.
     pub peer: String,
-    /// What happened.
+    /// Cause of the failure.
     pub what: String,
 }
 
@@ -20,7 +20,7 @@
         Self { step, peer: peer.to_string(), what: what.to_string() }
     }
 
-    /// Creates a function that makes an error of an I/O error.
+    /// Returns a function that converts an I/O error, for `map_err`.
     pub fn io(step: &'static str, peer: impl fmt::Display) -> impl FnOnce(io::Error) -> Self {
         move |e| Self::new(step, peer, e)
     }
--- a/crates/dillmill-node/src/framed.rs
+++ b/crates/dillmill-node/src/framed.rs
@@ -1,4 +1,4 @@
-//! Sealed messages on a TCP connection, each behind its length.
+//! TCP connections between processes that carry sealed messages, each preceded by its length.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,14 +15,15 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection between two processes.
+/// A TCP connection between two processes that carries sealed messages.
 #[derive(Debug)]
 pub struct Framed {
-    /// Only ever used on the thread that made it; messages that carry it must be `Send`.
+    /// Used only on the thread that created it. The wrapper is needed because messages that contain the
+    /// connection must be `Send`.
     stream: SendWrapper<TcpStream>,
     key: ClusterKey,
     peer: String,
-    /// Counts what is sent.
+    /// Counters of the bytes sent, if they are counted.
     traffic: Option<Traffic>,
 }
 
@@ -33,9 +34,9 @@
         Self { stream: SendWrapper::new(stream), key, peer, traffic: None }
     }
 
-    /// Counts what is sent as traffic of this process.
+    /// Counts the bytes sent as traffic of this process.
     #[must_use]
-    pub fn counted(mut self, traffic: &Traffic) -> Self {
+    pub fn with_traffic(mut self, traffic: &Traffic) -> Self {
         self.traffic = Some(traffic.clone());
         self
     }
@@ -44,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when it does not accept within half a second.
+    /// Fails if the connection is refused or not accepted within half a second.
     pub async fn connect(to: SocketAddrV4, key: ClusterKey) -> Result<Self, NodeError> {
         let connecting = compio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
         let stream = connecting
@@ -54,15 +55,15 @@
         Ok(Self::new(stream, key, to.to_string()))
     }
 
-    /// Returns who is at the other end.
+    /// Returns the address of the peer.
     #[must_use]
     pub fn peer(&self) -> &str {
         &self.peer
     }
 
-    /// Returns a future that completes when the other side closes the connection.
+    /// Returns a future that completes when the peer closes the connection.
     ///
-    /// Only for a connection on which the other side sends nothing more.
+    /// May only be used on a connection on which the peer sends nothing more.
     pub fn closed(&self) -> Shared<LocalBoxFuture<'static, ()>> {
         let mut stream = TcpStream::clone(&self.stream);
         let watch = async move {
@@ -75,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection fails or the message can't be encoded.
     pub async fn send(&mut self, message: &StreamMessage) -> Result<(), NodeError> {
         let sealed =
             self.key.seal(message).map_err(|e| NodeError::new("encode for", &self.peer, e))?;
@@ -94,7 +95,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the connection does or ends, and on a message without a valid tag.
+    /// Fails if the connection fails or ends, if the message is too long, or if it has no valid
+    /// authentication tag.
     pub async fn receive(&mut self) -> Result<StreamMessage, NodeError> {
         let BufResult(outcome, head) = self.stream.read_exact([0_u8; 4]).await;
         outcome.map_err(NodeError::io("receive from", &self.peer))?;
--- a/crates/dillmill-node/src/handle.rs
+++ b/crates/dillmill-node/src/handle.rs
@@ -1,4 +1,4 @@
-//! How other tasks reach the control task.
+//! Handle through which the other tasks of a process use its control task.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use crate::logging;
 use crate::{Clock, Framed, Metrics, NodeError, ViewReceiver};
 
-const ASK_AGAIN: Duration = Duration::from_millis(120);
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Writes events into the log and the time line.
+/// Writes events to the log and to the event timeline.
 #[derive(Debug, Clone)]
 pub struct Journal {
     pub(crate) tx: flume::Sender<Input>,
@@ -30,15 +30,15 @@
 impl Journal {
     /// Records an event with its cause.
     pub fn record(&self, kind: EventKind, what: impl Into<String>, cause: impl Into<String>) {
-        self.at_level(log::Level::Info, kind, what.into(), cause.into());
+        self.record_at_level(log::Level::Info, kind, what.into(), cause.into());
     }
 
-    /// Records an event that is frequent, so that it is logged on `debug` only.
+    /// Records a frequent event, which is logged at level `debug` only.
     pub fn record_debug(&self, kind: EventKind, what: impl Into<String>, cause: impl Into<String>) {
-        self.at_level(log::Level::Debug, kind, what.into(), cause.into());
+        self.record_at_level(log::Level::Debug, kind, what.into(), cause.into());
     }
 
-    /// Writes into the log only: for lines that would push all others out of the time line.
+    /// Writes to the log only; for lines that would push all others out of the event timeline.
     pub fn log_only(&self, kind: EventKind, what: &str, cause: &str) {
         let (now, level) = (self.clock.now(), log::Level::Info);
         if log::log_enabled!(level) {
@@ -48,7 +48,7 @@
         }
     }
 
-    fn at_level(&self, level: log::Level, kind: EventKind, what: String, cause: String) {
+    fn record_at_level(&self, level: log::Level, kind: EventKind, what: String, cause: String) {
         let now = self.clock.now();
         if log::log_enabled!(level) {
             let kind = kind.to_string();
@@ -62,43 +62,43 @@
     }
 }
 
-/// A question of another process that a role answers.
+/// A request from another agent, which the role replies to.
 #[derive(Debug)]
 pub struct IncomingPeerRequest {
-    /// Who asks.
+    /// Address of the requesting process.
     pub from: SocketAddrV4,
-    /// Number to repeat.
+    /// Identifier of the request, which the reply repeats.
     pub id: u64,
-    /// The service it is about.
+    /// Service of both agents.
     pub service: ServiceName,
-    /// The question.
+    /// Content of the request.
     pub ask: PeerRequest,
 }
 
-/// A request that another agent hands over, with the connection for the answer.
+/// A request that another agent has forwarded, with the connection for the response.
 #[derive(Debug)]
 pub struct IncomingForward {
-    /// The request.
+    /// Forwarded request.
     pub request: ForwardedRequest,
-    /// The connection.
+    /// Connection to the forwarding agent.
     pub framed: Framed,
 }
 
-/// What a role takes from the control task besides views.
+/// Channels on which a role receives messages from the control task, besides views.
 #[derive(Debug, Clone)]
 pub struct RoleChannels {
-    /// Questions of other agents.
+    /// Requests from other agents of the service.
     pub peer_requests: flume::Sender<IncomingPeerRequest>,
-    /// Load reports of siblings.
+    /// Load reports of agents, with their senders.
     pub loads: flume::Sender<(SocketAddrV4, LoadReport)>,
-    /// Requests handed over.
+    /// Requests forwarded by other agents.
     pub handed: flume::Sender<IncomingForward>,
     /// Messages about packet flows, with their senders.
     pub flows: flume::Sender<(SocketAddrV4, FlowMessage)>,
 }
 
 impl RoleChannels {
-    /// Returns inlets that take nothing, for a role to fill in those it uses.
+    /// Returns closed channels, of which a role replaces those that it uses.
     #[must_use]
     pub fn closed() -> Self {
         let (peer_requests, _) = flume::bounded(0);
@@ -109,26 +109,26 @@
     }
 }
 
-/// A handle on the control task.
+/// Handle to the control task of a process.
 #[derive(Debug, Clone)]
 pub struct NodeHandle {
     pub(crate) tx: flume::Sender<Input>,
-    /// This run of the process.
+    /// Identifier of this run of the process.
     pub process: ProcessId,
-    /// When the process started.
+    /// Start time of the process.
     pub started: Timestamp,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// The process's log and time line.
+    /// Log and event timeline of the process.
     pub journal: Journal,
-    /// The installation's key.
+    /// Key of the installation.
     pub key: ClusterKey,
 }
 
 impl NodeHandle {
-    /// Returns the present view and then newer ones, for one task.
+    /// Subscribes one task to views: it receives the current one and then newer ones.
     #[must_use]
     pub fn views(&self) -> ViewReceiver {
         let (tx, views) = crate::views::views();
@@ -136,7 +136,7 @@
         views
     }
 
-    /// Sets where questions, load reports and handed-over requests go.
+    /// Sets the channels on which the role receives its messages.
     pub fn set_role_channels(&self, role_channels: RoleChannels) {
         let _ = self.tx.send(Input::RoleChannels(role_channels));
     }
@@ -146,93 +146,96 @@
         let _ = self.tx.send(Input::Send { to, message });
     }
 
-    /// Asks an agent for the flows that this one is to remember from now on.
+    /// Asks an agent for the records of the flows for which this process is now a directory.
     pub fn ask_records(&self, to: SocketAddrV4) {
         let _ = self.tx.send(Input::AskRecords { to });
     }
 
-    /// Answers a question.
-    pub fn reply(&self, question: &IncomingPeerRequest, reply: Reply) {
-        self.send(question.from, Message::Reply { id: question.id, reply });
+    /// Replies to a request from another agent.
+    pub fn reply(&self, incoming: &IncomingPeerRequest, reply: Reply) {
+        self.send(incoming.from, Message::Reply { id: incoming.id, reply });
     }
 
-    /// Asks an agent, again and again until it answers or `patience` is over.
+    /// Sends a request to an agent and waits for its reply, up to `time_limit`.
+    ///
+    /// The request is sent again whenever a wait for the reply ends without one; each wait is twice as long
+    /// as the one before, starting with 120 ms.
     ///
     /// # Errors
     ///
-    /// Fails when no answer comes.
+    /// Fails if no reply comes in time.
     pub async fn ask(
         &self,
         to: RingMember,
         service: &ServiceName,
         ask: PeerRequest,
-        patience: Duration,
+        time_limit: Duration,
     ) -> Result<Reply, NodeError> {
-        // All tries have one number, so that a late answer to the first still counts.
+        // All transmissions have the same identifier, so that a late reply to the first one still counts.
         let id: u64 = rand::rng().random();
         let (tx, rx) = flume::bounded(1);
-        let _ = self.tx.send(Input::Await { id, tx });
+        let _ = self.tx.send(Input::AwaitReply { id, tx });
         let message = Message::PeerRequest { id, to: to.process, service: service.clone(), ask };
-        let mut left = patience;
-        let mut wait = ASK_AGAIN;
-        while !left.is_zero() {
+        let mut remaining = time_limit;
+        let mut reply_timeout = FIRST_REPLY_TIMEOUT;
+        while !remaining.is_zero() {
             self.send(to.control, message.clone());
-            let this = wait.min(left);
-            if let Ok(Ok(reply)) = compio::time::timeout(this, rx.recv_async()).await {
+            let current_timeout = reply_timeout.min(remaining);
+            if let Ok(Ok(reply)) = compio::time::timeout(current_timeout, rx.recv_async()).await {
                 return Ok(reply);
             }
-            left -= this;
-            wait *= 2;
+            remaining -= current_timeout;
+            reply_timeout *= 2;
         }
         Err(NodeError::new("ask", to.control, "no answer"))
     }
 
-    /// Changes this process's own record and spreads it.
+    /// Changes this process's own member record and announces it to the other processes.
     pub fn update_me(&self, change: impl FnOnce(&mut Member) + Send + 'static) {
         let _ = self.tx.send(Input::UpdateMe(Box::new(change)));
     }
 
-    /// Puts a tree of routes in force if it is newer, and passes it on.
+    /// Puts a route tree in force if it is newer, and distributes it to peers.
     pub fn put_routes(&self, source: impl Into<String>, routes: RouteTree) {
         let _ = self.tx.send(Input::Routes { source: source.into(), routes });
     }
 
-    /// Puts orders to evacuate data centres in force if they are newer, and passes them on.
+    /// Puts orders to evacuate data centres in force if they are newer, and distributes them to peers.
     pub fn put_evacuations(&self, source: impl Into<String>, evacuations: Evacuations) {
         let _ = self.tx.send(Input::Evacuations { source: source.into(), evacuations });
     }
 
-    /// Takes in changes of the orders to evacuate that the platform has told.
+    /// Applies changes of the evacuation orders that the platform has reported.
     pub fn change_evacuations(&self, changes: Vec<EvacuationChange>) {
         let _ = self.tx.send(Input::EvacuationChanges(changes));
     }
 
-    /// Takes in what the platform's store holds of the fleet's size.
+    /// Sets the fleet size read from the platform's store.
     pub fn put_stored_size(&self, stored: StoredSize) {
         let _ = self.tx.send(Input::StoredSize(stored));
     }
 
-    /// Joins through the processes at these control addresses, besides those of the settings.
+    /// Joins through the processes at these control addresses, in addition to those in the settings.
     pub fn add_seeds(&self, seeds: Vec<SocketAddrV4>) {
         let _ = self.tx.send(Input::Seeds(seeds));
     }
 
-    /// Says whether the platform answered, and what.
+    /// Reports the result of a call to the platform; `cause` is its answer or error.
     pub fn report_platform(&self, reachable: bool, cause: impl Into<String>) {
         let _ = self.tx.send(Input::Platform { reachable, cause: cause.into() });
     }
 
-    /// Says that this process takes no new work from now on.
+    /// Announces that this process accepts no new work from now on.
     pub fn leave(&self) {
         let _ = self.tx.send(Input::Leave);
     }
 
-    /// Says that this process takes new work from now on.
+    /// Announces that this process accepts new work from now on.
     pub fn serve(&self) {
         let _ = self.tx.send(Input::Serve);
     }
 
-    /// Says that this process has stopped, and waits until that is sent.
+    /// Announces that this process has stopped, and waits until the announcement is sent.
     pub async fn announce_stopped(&self) {
         let (tx, rx) = flume::bounded(1);
         let _ = self.tx.send(Input::Stopped(tx));
@@ -240,13 +243,13 @@
     }
 }
 
-/// Draws a random index below `n`.
+/// Returns a random index below `n`, or 0 if `n` is 0.
 #[must_use]
 pub fn random_index(n: usize) -> usize {
     if n == 0 { 0 } else { rand::rng().random_range(0..n) }
 }
 
-/// Calls `f` with a source of random indices.
+/// Calls `f` with a generator of random indices.
 pub fn with_random_index<T>(f: impl FnOnce(&mut RandomIndex<'_>) -> T) -> T {
     f(&mut random_index)
 }
--- a/crates/dillmill-node/src/lib.rs
+++ b/crates/dillmill-node/src/lib.rs
@@ -1,9 +1,9 @@
-//! What every dillmill process has in common.
+//! The parts that all dillmill processes share.
 //!
-//! A process has a [`Node`]: the control task that owns its view of members and settings, spreads
-//! both, and answers questions about the process; an administration page; a log and a time line.
-//! Tasks reach the control task by messages ([`NodeHandle`]) and get a new [`View`] after each
-//! change.
+//! Each process has a [`Node`], which consists of the control task, an administration page, a log and an
+//! event timeline. The control task owns the process's view of members and settings, distributes both to
+//! peers, and responds to requests about the process. Other tasks send it messages through a
+//! [`NodeHandle`] and get a new [`View`] after each change.
 
 pub mod admin;
 pub mod client;
--- a/crates/dillmill-node/src/logging.rs
+++ b/crates/dillmill-node/src/logging.rs
@@ -1,4 +1,4 @@
-//! JSON lines on standard output.
+//! Writes the log as JSON lines to standard output.
 
 use std::io::{self, LineWriter};
 use std::sync::OnceLock;
@@ -24,7 +24,7 @@
 
 static WRITER: OnceLock<LogWriter> = OnceLock::new();
 
-/// Starts logging. A second call changes nothing.
+/// Starts logging. Further calls have no effect.
 pub fn start(level: LogLevel) {
     let config = ConfigBuilder::new()
         .set_time_level(LevelFilter::Off)
@@ -40,14 +40,14 @@
     let _ = WriteLogger::init(level.into(), config, LineWriter::new(writer.clone()));
 }
 
-/// Waits a little until the lines so far are written; for the end of a process.
+/// Waits, for a limited time, until all lines so far are written; called at the end of a process.
 pub fn flush() {
     if let Some(writer) = WRITER.get() {
-        writer.wait();
+        writer.wait_until_written();
     }
 }
 
-/// Formats one line.
+/// Formats one log line.
 #[must_use]
 pub fn line(
     at: Timestamp,
--- a/crates/dillmill-node/src/metrics.rs
+++ b/crates/dillmill-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics that every process has; each role adds its own to the same registry.
+//! Metrics that every process exports; each role adds its own to the same registry.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntGauge, Opts, Registry, TextEncoder,
@@ -12,42 +12,42 @@
     registry: Registry,
     /// Settings revision in force.
     pub revision: IntGauge,
-    /// Data centres that are to get no new flows.
+    /// Number of data centres that get no new flows.
     pub evacuated: IntGauge,
-    /// Processes known and not down.
+    /// Number of known processes that are not down.
     pub members: IntGauge,
-    /// Control bytes sent.
+    /// Bytes of control datagrams sent.
     pub control_sent: IntCounter,
-    /// Control bytes received.
+    /// Bytes of control datagrams received.
     pub control_received: IntCounter,
-    /// Control datagrams without a valid tag.
+    /// Control datagrams received without a valid authentication tag.
     pub control_forged: IntCounter,
     /// Failed calls to the platform.
     pub platform_errors: IntCounter,
     /// Entries of the platform's store that could not be used.
     pub platform_unreadable: IntCounter,
-    /// Comparisons of records asked of peers.
+    /// Synchronisations requested from peers.
     pub syncs_asked: IntCounter,
-    /// Comparisons of records answered to peers.
+    /// Synchronisations answered for peers.
     pub syncs_answered: IntCounter,
-    /// Peers that were turned away, as too many compared their records.
+    /// Synchronisations refused because too many were running at once.
     pub syncs_refused: IntCounter,
-    /// Changes of records, taken in or made.
+    /// Changes of member records, learned from peers or made by this process.
     pub record_changes: IntCounter,
-    /// Views shown to the other tasks.
+    /// Views published to the other tasks.
     pub views: IntCounter,
-    /// Open flows.
+    /// Number of open flows.
     pub flows: IntGauge,
-    /// Bytes on the VM's link by what they carry.
+    /// Bytes on the VM's link by kind of content.
     pub traffic: Traffic,
 }
 
 impl Metrics {
-    /// Creates the registry.
+    /// Creates the registry and registers the metrics of the control task.
     ///
     /// # Errors
     ///
-    /// Fails if a metric's name is taken.
+    /// Fails if a metric's name is already registered.
     pub fn new() -> Result<Self, NodeError> {
         let registry = Registry::new();
         let metrics = Self {
@@ -107,29 +107,29 @@
         Ok(metrics)
     }
 
-    /// Adds a counter.
+    /// Registers a counter.
     ///
     /// # Errors
     ///
-    /// Fails if the name is taken.
+    /// Fails if the name is already registered.
     pub fn counter(&self, name: &str, help: &str) -> Result<IntCounter, NodeError> {
         counter(&self.registry, name, help)
     }
 
-    /// Adds a gauge.
+    /// Registers a gauge.
     ///
     /// # Errors
     ///
-    /// Fails if the name is taken.
+    /// Fails if the name is already registered.
     pub fn gauge(&self, name: &str, help: &str) -> Result<IntGauge, NodeError> {
         gauge(&self.registry, name, help)
     }
 
-    /// Adds a histogram whose buckets end at `bounds`.
+    /// Registers a histogram whose buckets have the upper bounds `bounds`.
     ///
     /// # Errors
     ///
-    /// Fails if the name is taken or the bounds do not rise.
+    /// Fails if the name is already registered or the bounds are not ascending.
     pub fn histogram(
         &self,
         name: &str,
@@ -143,7 +143,7 @@
         Ok(metric)
     }
 
-    /// Returns all metrics in Prometheus' text format.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         let mut buf = Vec::new();
--- a/crates/dillmill-node/src/node.rs
+++ b/crates/dillmill-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts the parts that every process has.
+//! Starts the tasks that every process has, such as the control task and the administration page.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -19,45 +19,45 @@
     TrafficKind, admin, logging, store_task,
 };
 
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_DATAGRAM: usize = 64 * 1024;
-const ADMIN_DEFAULT: SocketAddrV4 = SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, 0);
+const DEFAULT_ADMIN_ADDRESS: SocketAddrV4 = SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, 0);
 
-/// What a role says of itself at start.
+/// Properties of a role that a process starts with.
 #[derive(Debug, Clone)]
 pub struct NodeSpec {
-    /// What the process does.
+    /// Role of the process.
     pub role: Role,
-    /// Standing at start: a process that is not ready yet starts as leaving.
+    /// Membership status at start: a process that is not ready yet starts as leaving.
     pub status: MemberStatus,
-    /// Share of new flows; for an agent of packet flows the slots of its target, 0 while unknown.
+    /// Share of new flows; for an agent of packet flows, the number of its target's slots, 0 while unknown.
     pub weight: Weight,
-    /// What an agent of packet flows knows of its target's flows.
+    /// How much an agent of packet flows knows about its target's flows.
     pub coverage: FlowCoverage,
-    /// What the process is configured by.
+    /// Source of the process's settings.
     pub settings: SettingsSource,
-    /// How long it waits before it makes itself known, unless it changes its record: each version of a record goes to
-    /// all processes.
+    /// How long the process waits before it announces itself, unless it changes its record earlier. Each
+    /// version of a record is sent to all processes, so the wait saves one version.
     pub announce_delay: Duration,
 }
 
-/// What a process is configured by.
+/// Source of a process's settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SettingsSource {
-    /// The tree of HTTP/3 services, whose changes are a log in the store.
+    /// The settings tree of HTTP/3 services, whose changes are a log in the platform's store.
     Tree,
-    /// The tree of routes; its role reads it and calls [`NodeHandle::put_routes`].
+    /// The route tree; the role reads it and calls [`NodeHandle::put_routes`].
     Routes,
 }
 
-/// A running control task.
+/// A process with its running control task.
 #[derive(Debug)]
 pub struct Node {
-    /// How to reach it.
+    /// Handle to the control task.
     pub handle: NodeHandle,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: Store,
-    /// Address of the administration page.
+    /// Bound address of the administration page.
     pub admin: SocketAddr,
 }
 
@@ -66,7 +66,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be bound.
+    /// Fails if an address can't be bound, the cluster key is invalid, a metric can't be registered, or the
+    /// HTTP client for the platform can't be created.
     pub async fn spawn(config: &ProcessConfig, spec: NodeSpec) -> Result<Self, Report<NodeError>> {
         logging::start(config.log);
         let clock = Clock::start();
@@ -78,7 +79,7 @@
             UdpSocket::bind(control).await.map_err(NodeError::io("bind control UDP", control))?;
         let listener =
             TcpListener::bind(control).await.map_err(NodeError::io("bind control TCP", control))?;
-        let admin_addr = config.admin.unwrap_or(ADMIN_DEFAULT);
+        let admin_addr = config.admin.unwrap_or(DEFAULT_ADMIN_ADDRESS);
         let admin_listener = TcpListener::bind(admin_addr)
             .await
             .map_err(NodeError::io("bind administration", admin_addr))?;
@@ -122,9 +123,10 @@
             ))
             .detach();
         }
-        let quiet_until = started + spec.announce_delay;
+        let announce_after = started + spec.announce_delay;
         let peers = config.peers.clone();
-        let control = Control::new(handle.clone(), socket, me, peers, spec.settings, quiet_until);
+        let control =
+            Control::new(handle.clone(), socket, me, peers, spec.settings, announce_after);
         compio::runtime::spawn(control.run(rx)).detach();
         Ok(Self { handle, store, admin })
     }
@@ -132,7 +134,7 @@
 
 async fn tick(tx: flume::Sender<Input>) {
     while tx.send(Input::Tick).is_ok() {
-        compio::time::sleep(TICK).await;
+        compio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
@@ -167,15 +169,16 @@
 async fn serve_stream(stream: TcpStream, peer: SocketAddr, handle: NodeHandle, syncs: SyncLimit) {
     let _ = stream.set_nodelay(true);
     let key: ClusterKey = handle.key.clone();
-    let mut framed = Framed::new(stream, key, peer.to_string()).counted(&handle.metrics.traffic);
+    let mut framed =
+        Framed::new(stream, key, peer.to_string()).with_traffic(&handle.metrics.traffic);
     while let Ok(message) = framed.receive().await {
         if let StreamMessage::Request(request) = message {
-            let handed = IncomingForward { request: *request, framed };
-            let _ = handle.tx.send(Input::IncomingForward(Box::new(handed)));
+            let forward = IncomingForward { request: *request, framed };
+            let _ = handle.tx.send(Input::IncomingForward(Box::new(forward)));
             return;
         }
-        let turn = syncs.take();
-        if turn.is_none() && matches!(message, StreamMessage::Sync { .. }) {
+        let permit = syncs.acquire();
+        if permit.is_none() && matches!(message, StreamMessage::Sync { .. }) {
             handle.metrics.syncs_refused.inc();
             return;
         }
@@ -183,8 +186,8 @@
         if handle.tx.send(Input::Stream { message, tx }).is_err() {
             return;
         }
-        let Ok(answer) = rx.recv_async().await else { return };
-        if framed.send(&answer).await.is_err() {
+        let Ok(response) = rx.recv_async().await else { return };
+        if framed.send(&response).await.is_err() {
             return;
         }
     }
--- a/crates/dillmill-node/src/stop.rs
+++ b/crates/dillmill-node/src/stop.rs
@@ -1,4 +1,4 @@
-//! Signals that stop a process.
+//! Waits for the signals that stop a process.
 
 /// Waits for SIGTERM or SIGINT.
 pub async fn requested() {
--- a/crates/dillmill-node/src/store_task.rs
+++ b/crates/dillmill-node/src/store_task.rs
@@ -1,4 +1,4 @@
-//! Reads settings from the platform while this process has the duty to watch.
+//! Reads settings from the platform's store while this process is a selected watcher.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,21 +10,26 @@
 use crate::control::Input;
 use crate::{NodeHandle, View, ViewReceiver};
 
-const WATCH: Duration = Duration::from_secs(10);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 const RETRY_MIN: Duration = Duration::from_millis(200);
 const RETRY_MAX: Duration = Duration::from_secs(5);
-const PEERS_FIRST: Duration = Duration::from_millis(1500);
-const OFF_DUTY: Duration = Duration::from_secs(1);
+const PEER_WAIT: Duration = Duration::from_millis(1500);
+const OFF_DUTY_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads changes for as long as the process lives.
+/// Reads settings changes until the process ends.
 ///
-/// A newcomer with `peers` gets its first settings from them if it can: thousands that start at once
-/// would otherwise all read the whole tree from the platform.
-pub(crate) async fn run(store: SettingsStore, handle: NodeHandle, watchers: usize, peers: bool) {
+/// A new process that `has_peers` first waits up to [`PEER_WAIT`] for settings from them. Otherwise,
+/// thousands of processes that start at once would all read the whole tree from the platform.
+pub(crate) async fn run(
+    store: SettingsStore,
+    handle: NodeHandle,
+    watchers: usize,
+    has_peers: bool,
+) {
     let views = handle.views();
     let mut view = None;
-    if peers {
-        view = shown(&views, Revision(1), PEERS_FIRST).await;
+    if has_peers {
+        view = wait_for_revision(&views, Revision(1), PEER_WAIT).await;
     }
     let mut pause = RETRY_MIN;
     loop {
@@ -36,8 +41,8 @@
             }
             continue;
         };
-        if !on_duty(current, &handle, watchers) && current.revision() > Revision(0) {
-            compio::time::sleep(OFF_DUTY).await;
+        if !is_selected(current, &handle, watchers) && current.revision() > Revision(0) {
+            compio::time::sleep(OFF_DUTY_POLL_INTERVAL).await;
             continue;
         }
         match read(&store, current.revision(), &handle).await {
@@ -46,8 +51,9 @@
                 let cause = "call answered".to_owned();
                 let _ = handle.tx.send(Input::Platform { reachable: true, cause });
                 if let Some(revision) = read {
-                    // Who asks before it is in force asks for this change again, and misses the next.
-                    view = shown(&views, revision, WATCH).await.or(view);
+                    // A read before this revision is in force would request the same change again and
+                    // miss the next one.
+                    view = wait_for_revision(&views, revision, WATCH_TIMEOUT).await.or(view);
                 }
             }
             Err(cause) => {
@@ -60,14 +66,18 @@
     }
 }
 
-/// Returns the newest view as soon as it shows `revision` or a later one, or after `wait`.
-async fn shown(views: &ViewReceiver, revision: Revision, wait: Duration) -> Option<Arc<View>> {
+/// Returns the newest view as soon as `revision` or a later one is in force, or after `wait`.
+async fn wait_for_revision(
+    views: &ViewReceiver,
+    revision: Revision,
+    wait: Duration,
+) -> Option<Arc<View>> {
     let mut newest = None;
     let waiting = async {
         while let Some(view) = views.next().await {
-            let there = view.revision() >= revision;
+            let reached = view.revision() >= revision;
             newest = Some(view);
-            if there {
+            if reached {
                 return;
             }
         }
@@ -76,20 +86,22 @@
     newest
 }
 
-fn on_duty(view: &Arc<View>, handle: &NodeHandle, watchers: usize) -> bool {
+fn is_selected(view: &Arc<View>, handle: &NodeHandle, watchers: usize) -> bool {
     let alive = view.members().filter(|m| m.status != MemberStatus::Down);
     let others = alive.map(|m| m.process);
     watcher_selection::is_watcher(view.me.process, others, watchers, handle.clock.now())
 }
 
-/// Passes on what follows revision `have`, if there is something; returns the revision that this leads to.
+/// Reads what follows revision `known` and passes it to the control task.
+///
+/// Returns the revision that this leads to, or `None` if nothing new was read.
 async fn read(
     store: &SettingsStore,
-    have: Revision,
+    known: Revision,
     handle: &NodeHandle,
 ) -> Result<Option<Revision>, String> {
     let source = "platform".to_owned();
-    if have == Revision(0) {
+    if known == Revision(0) {
         let mut tree = Tree::default();
         store.catch_up(&mut tree).await.map_err(|e| e.current_context().to_string())?;
         let revision = tree.revision;
@@ -99,8 +111,9 @@
             return Ok(Some(revision));
         }
     }
-    let next = have.next();
-    let change = store.wait_for(next, WATCH).await.map_err(|e| e.current_context().to_string())?;
+    let next = known.next();
+    let change =
+        store.wait_for(next, WATCH_TIMEOUT).await.map_err(|e| e.current_context().to_string())?;
     let found = change.is_some().then_some(next);
     if let Some(change) = change {
         let changes = vec![change];
--- a/crates/dillmill-node/src/sync_limit.rs
+++ b/crates/dillmill-node/src/sync_limit.rs
@@ -1,40 +1,41 @@
-//! How many peers a process compares its records with at once.
+//! Limits the number of synchronisations that a process answers at once.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Comparisons at once: with whole tables they take up a thin link for a moment.
-const AT_ONCE: usize = 16;
+/// Maximum number of synchronisations at once, as those that send whole tables saturate a slow link for a
+/// moment.
+const MAX_CONCURRENT_SYNCS: usize = 16;
 
-/// Hands out turns for comparisons.
+/// Issues permits for synchronisations.
 ///
-/// When everything starts, many ask whoever they know first. Those who are turned away ask another, and find one that
-/// knows as much.
+/// When the whole fleet starts, many processes contact the same peer, the first one that they know. Those
+/// that are refused contact another peer, which knows as much.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct SyncLimit {
-    taken: Rc<Cell<usize>>,
+    in_use: Rc<Cell<usize>>,
 }
 
-/// A turn, given back when it is dropped.
+/// A permit for one synchronisation, returned when it is dropped.
 #[derive(Debug)]
-pub(crate) struct SyncTurn {
-    taken: Rc<Cell<usize>>,
+pub(crate) struct SyncPermit {
+    in_use: Rc<Cell<usize>>,
 }
 
 impl SyncLimit {
-    /// Returns a turn, if there is one.
-    pub(crate) fn take(&self) -> Option<SyncTurn> {
-        let taken = self.taken.get();
-        if taken >= AT_ONCE {
+    /// Returns a permit, or `None` if all are in use.
+    pub(crate) fn acquire(&self) -> Option<SyncPermit> {
+        let in_use = self.in_use.get();
+        if in_use >= MAX_CONCURRENT_SYNCS {
             return None;
         }
-        self.taken.set(taken + 1);
-        Some(SyncTurn { taken: self.taken.clone() })
+        self.in_use.set(in_use + 1);
+        Some(SyncPermit { in_use: self.in_use.clone() })
     }
 }
 
-impl Drop for SyncTurn {
+impl Drop for SyncPermit {
     fn drop(&mut self) {
-        self.taken.set(self.taken.get() - 1);
+        self.in_use.set(self.in_use.get() - 1);
     }
 }
--- a/crates/dillmill-node/src/traffic.rs
+++ b/crates/dillmill-node/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes on the VM's link by what they carry.
+//! Counts the bytes on the VM's link by kind of content.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,22 +10,22 @@
 
 use crate::NodeError;
 
-/// What a datagram or a message on a stream carries.
+/// Kind of content of a datagram or of a message on a stream; a label of the traffic metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrafficKind {
-    /// Probes and their answers.
+    /// Membership probes and their answers.
     Probe,
-    /// Records of members that are new to the sender.
+    /// Member records: gossiped ones, which are new to the sender, and samples for newcomers.
     Members,
-    /// Loads of agents and questions for them.
+    /// Load reports of agents and requests for them.
     Load,
-    /// Where a flow is, or that nobody holds or takes it.
+    /// Messages that tell which agent owns a flow, or that no agent holds or accepts it.
     Owner,
-    /// Records of flows for their directories.
+    /// Directory records of flows.
     Directory,
-    /// Changes of settings.
+    /// Changes of settings, and evacuation orders.
     Settings,
-    /// Claims between agents of HTTP/3 services.
+    /// Requests and replies between agents of HTTP/3 services, such as claims.
     Claim,
     /// Messages on TCP connections between processes.
     Stream,
@@ -35,9 +35,9 @@
     Data,
     /// Packets of open flows without data.
     Acknowledgement,
-    /// Packets whose owner is searched.
+    /// Packets forwarded in search of the flow's owner.
     Search,
-    /// Resets of our own.
+    /// Resets that dillmill itself generates.
     Reset,
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// Counts what a process sends and receives, heads of datagrams included.
+/// Counters of the bytes that a process sends and receives, including the headers of datagrams.
 #[derive(Debug, Clone)]
 pub struct Traffic {
     sent: Vec<IntCounter>,
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a name is taken.
+    /// Fails if a metric's name is already registered.
     pub fn new(registry: &Registry) -> Result<Self, NodeError> {
         let counters = |name: &str, help: &str| {
             let error = |e: prometheus::Error| NodeError::new("register metric", name, e);
@@ -129,18 +129,18 @@
         })
     }
 
-    /// Counts a datagram of `len` bytes that was sent after waiting for the link.
+    /// Counts a datagram of `len` bytes that was sent through the link queue.
     pub fn sent(&self, kind: TrafficKind, len: usize) {
         self.sent[kind as usize].inc_by(bytes(len));
     }
 
-    /// Counts a datagram of `len` bytes that was sent at once, whatever waits for the link.
+    /// Counts a datagram of `len` bytes that was sent at once, bypassing the link queue.
     pub fn sent_unqueued(&self, kind: TrafficKind, len: usize) {
         self.sent(kind, len);
         self.unqueued.fetch_add(bytes(len), Ordering::Relaxed);
     }
 
-    /// Returns the bytes sent at once since the start, for whoever makes room for them.
+    /// Returns the bytes sent past the link queue since the start, so that the queue can allow for them.
     #[must_use]
     pub fn unqueued_bytes(&self) -> u64 {
         self.unqueued.load(Ordering::Relaxed)
--- a/crates/dillmill-node/src/view.rs
+++ b/crates/dillmill-node/src/view.rs
@@ -1,4 +1,4 @@
-//! What the control task tells the other tasks.
+//! The view of members and settings that the control task publishes to the other tasks.
 
 use std::sync::Arc;
 
@@ -8,22 +8,22 @@
 };
 use dillmill_settings::{CompiledTree, RouteTree};
 
-/// The members and the settings at one moment.
+/// The members, settings and evacuation orders at one moment.
 #[derive(Debug, Clone)]
 pub struct View {
-    /// This process.
+    /// Member record of this process.
     pub me: Member,
-    /// All members, this process included.
+    /// All member records, including this process's own.
     pub members: Arc<Vec<Arc<Member>>>,
-    /// The settings in force; `None` until a first tree came.
+    /// Settings in force; `None` until the first tree has been received.
     pub settings: Option<Arc<CompiledTree>>,
-    /// The routes of packet flows in force; `None` until the first came.
+    /// Routes of packet flows in force; `None` until the first have been received.
     pub routes: Option<Arc<RouteTree>>,
-    /// Data centres that are to get no new flows; `None` until it is known.
+    /// Data centres that get no new flows; `None` until the orders are known.
     pub evacuations: Option<Arc<Evacuations>>,
-    /// Size of the fleet that the platform's store holds, as far as is known.
+    /// Fleet size stored in the platform's store, as far as known.
     pub stored_size: StoredSize,
-    /// The members are all there are, as far as can be told.
+    /// Whether the view contains all processes, as far as this process can tell.
     pub settled: bool,
 }
 
@@ -33,7 +33,7 @@
         self.members.iter().map(Arc::as_ref)
     }
 
-    /// Returns how many processes are not known to be down.
+    /// Returns the number of processes that are not known to be down.
     #[must_use]
     pub fn fleet(&self) -> FleetSize {
         let up = self.members().filter(|m| m.status != MemberStatus::Down).count();
@@ -48,13 +48,13 @@
         tree.max(routes)
     }
 
-    /// Returns the agents of `service` that take new flows.
+    /// Returns the home table of the agents of `service` that accept new flows.
     #[must_use]
     pub fn home_table(&self, service: &ServiceName) -> HomeTable {
         HomeTable::new(self.serving_agents(service).map(Into::into))
     }
 
-    /// Returns the agents of `service` that take new work.
+    /// Returns the agents of `service` that accept new work.
     pub fn serving_agents(&self, service: &ServiceName) -> impl Iterator<Item = &Member> {
         self.members().filter(move |m| {
             m.status == MemberStatus::Serving
@@ -62,12 +62,12 @@
         })
     }
 
-    /// Returns the balancers that take new work.
+    /// Returns the balancers that accept new work.
     pub fn serving_balancers(&self) -> impl Iterator<Item = &Member> {
         self.members().filter(|m| m.status == MemberStatus::Serving && m.role == Role::Balancer)
     }
 
-    /// Returns the record of a process.
+    /// Returns the member record of a process.
     #[must_use]
     pub fn member(&self, process: ProcessId) -> Option<&Member> {
         self.members().find(|m| m.process == process)
--- a/crates/dillmill-node/src/views.rs
+++ b/crates/dillmill-node/src/views.rs
@@ -1,4 +1,4 @@
-//! The newest view, for one task.
+//! Channel that delivers the newest view to one task.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,22 +6,24 @@
 
 type Cell = Arc<Mutex<Option<Arc<View>>>>;
 
-/// Gives a task the newest view; views that the task did not look at in time are skipped, so a task
-/// that is idle for days holds one view and not all.
+/// Receiving end of a view channel, which delivers only the newest view.
+///
+/// A view that the task has not received before the next one is published is skipped, so a task that is
+/// idle for days keeps one view in memory and not all of them.
 #[derive(Debug)]
 pub struct ViewReceiver {
     cell: Cell,
     rx: flume::Receiver<()>,
 }
 
-/// The other end of [`ViewReceiver`].
+/// Sending end of a view channel.
 #[derive(Debug)]
 pub(crate) struct ViewSender {
     cell: Cell,
     tx: flume::Sender<()>,
 }
 
-/// Creates both ends.
+/// Creates a view channel.
 pub(crate) fn views() -> (ViewSender, ViewReceiver) {
     let cell = Cell::default();
     let (tx, rx) = flume::bounded(1);
@@ -29,7 +31,7 @@
 }
 
 impl ViewSender {
-    /// Replaces the view; returns whether the other end is still there.
+    /// Replaces the view; returns whether the receiver still exists.
     pub(crate) fn send(&self, view: Arc<View>) -> bool {
         *self.cell.lock().unwrap_or_else(PoisonError::into_inner) = Some(view);
         !matches!(self.tx.try_send(()), Err(flume::TrySendError::Disconnected(())))
@@ -37,18 +39,18 @@
 }
 
 impl ViewReceiver {
-    fn take(&self) -> Option<Arc<View>> {
+    fn newest(&self) -> Option<Arc<View>> {
         self.cell.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the newest view if there is one that this task has not seen.
+    /// Returns the newest view if this task has not received it yet, without waiting.
     #[must_use]
     pub fn newer(&self) -> Option<Arc<View>> {
-        self.rx.try_recv().ok().and_then(|()| self.take())
+        self.rx.try_recv().ok().and_then(|()| self.newest())
     }
 
-    /// Waits for a view that this task has not seen; `None` when the process ends.
+    /// Waits for a view that this task has not received yet; returns `None` when the process ends.
     pub async fn next(&self) -> Option<Arc<View>> {
-        self.rx.recv_async().await.ok().and_then(|()| self.take())
+        self.rx.recv_async().await.ok().and_then(|()| self.newest())
     }
 }
--- a/crates/dillmill-node/tests/process_settings.rs
+++ b/crates/dillmill-node/tests/process_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process.
+//! Tests the parsing of a process's settings file. Errors must name the line and key that are invalid.
 
 use dillmill_node::ProcessConfig;
 use rstest::rstest;
