--- a/crates/dillmill-agent/src/admission.rs
+++ b/crates/dillmill-agent/src/admission.rs
@@ -261,7 +261,8 @@
         if exclude_self {
             own.slots = Slots(0);
         }
-        let place = with_random_index(|draw| self.siblings.place(policy, own, now, draw));
+        let place =
+            with_random_index(|random_index| self.siblings.place(policy, own, now, random_index));
         match place {
             Place::Sibling { process, control } => Some(RingMember { process, control }),
             Place::Here if own.slots.0 == 0 => self.unreported_sibling(),
@@ -273,7 +274,7 @@
     fn unreported_sibling(&self) -> Option<RingMember> {
         let unreported = |m: &&RingMember| !self.siblings.knows(m.process);
         let unreported: Vec<&RingMember> = self.sibling_addrs.iter().filter(unreported).collect();
-        let i = with_random_index(|draw| draw(unreported.len()));
+        let i = with_random_index(|random_index| random_index(unreported.len()));
         unreported.get(i).map(|m| **m)
     }
 
@@ -348,7 +349,7 @@
         self.last_report = Some((report, now));
         let mut to: Vec<RingMember> = self.sibling_addrs.clone();
         while to.len() > MAX_REPORT_RECIPIENTS {
-            let i = with_random_index(|draw| draw(to.len()));
+            let i = with_random_index(|random_index| random_index(to.len()));
             to.swap_remove(i);
         }
         for member in to {
--- a/crates/dillmill-agent/src/agent.rs
+++ b/crates/dillmill-agent/src/agent.rs
@@ -188,11 +188,11 @@
     rings: &RingStore,
     endpoint: &quinn::Endpoint,
 ) -> (flume::Sender<()>, flume::Sender<()>) {
-    let (questions_tx, peer_requests) = flume::unbounded();
+    let (peer_requests_tx, peer_requests) = flume::unbounded();
     let (loads_tx, loads) = flume::unbounded();
     let (handed_tx, handed) = flume::unbounded();
     cx.node.set_role_channels(RoleChannels {
-        peer_requests: questions_tx,
+        peer_requests: peer_requests_tx,
         loads: loads_tx,
         handed: handed_tx,
         ..RoleChannels::closed()
--- a/crates/dillmill-agent/src/claiming.rs
+++ b/crates/dillmill-agent/src/claiming.rs
@@ -229,15 +229,15 @@
     cx: AgentContext,
     peer_requests: flume::Receiver<IncomingPeerRequest>,
 ) {
-    while let Ok(question) = peer_requests.recv_async().await {
-        if question.service == cx.service {
-            compio::runtime::spawn(answer(cx.clone(), question)).detach();
+    while let Ok(request) = peer_requests.recv_async().await {
+        if request.service == cx.service {
+            compio::runtime::spawn(answer(cx.clone(), request)).detach();
         }
     }
 }
 
-async fn answer(cx: AgentContext, question: IncomingPeerRequest) {
-    let reply = match question.ask.clone() {
+async fn answer(cx: AgentContext, request: IncomingPeerRequest) {
+    let reply = match request.ask.clone() {
         PeerRequest::Claim { key, epoch, by } => match decide_claim(&cx, key, epoch, by).await {
             Some(answer) => Reply::Claim(answer),
             None => return,
@@ -259,5 +259,5 @@
             Reply::Done
         }
     };
-    cx.node.reply(&question, reply);
+    cx.node.reply(&request, reply);
 }
--- a/crates/dillmill-agent/src/data_task.rs
+++ b/crates/dillmill-agent/src/data_task.rs
@@ -109,8 +109,9 @@
 
     async fn send(&self, out: &Outbound, state: &State, now: Timestamp) {
         let Some(table) = &state.table else { return };
-        let balancer =
-            with_random_index(|draw| state.paths.choose(out.caller, &state.balancers, now, draw));
+        let balancer = with_random_index(|random_index| {
+            state.paths.choose(out.caller, &state.balancers, now, random_index)
+        });
         let Some(balancer) = balancer else { return };
         let frame =
             Frame { service: table.own.service, caller: out.caller, hops: 0, balancer: None };
--- a/crates/dillmill-core/src/agent_table.rs
+++ b/crates/dillmill-core/src/agent_table.rs
@@ -216,7 +216,7 @@
     /// suspect ones. Agents of evacuated data centres are left out.
     ///
     /// All agents of a small service may pause at once. Mostly they are back before their callers
-    /// give up. Callers told that there is no agent would use up their tries within milliseconds.
+    /// give up. Callers told that there is no agent would use up their attempts within milliseconds.
     pub fn taking_new(&self, service: ServiceTag) -> impl Iterator<Item = &AgentEntry> {
         let taking = self.services.get(&service).map_or(&[][..], ServiceAgents::taking_new);
         taking.iter().map(|i| &self.agents[*i])
--- a/crates/dillmill-core/src/flow_gate/opening.rs
+++ b/crates/dillmill-core/src/flow_gate/opening.rs
@@ -17,8 +17,8 @@
 /// The same limit while the targets are cold. If most targets are warm, one or two steps find one;
 /// if all are cold, each step is in vain.
 const MAX_COLD_HOPS: usize = 2;
-/// Time that a request may wait on a route without a latency aim, in multiples of the time that the
-/// target takes for one request.
+/// Time that a request may wait on a route without a latency objective, in multiples of the time that
+/// the target takes for one request.
 const DEFAULT_WAIT_ROUNDS: u32 = 3;
 
 impl FlowGate {
@@ -45,7 +45,7 @@
                 (false, false) => PassReason::Full,
             };
             // Traffic between data centres costs, so a request that can wait here within the
-            // latency aim is not sent to another data centre.
+            // latency objective is not sent to another data centre.
             let hops = if cold { MAX_COLD_HOPS } else { MAX_PLACE_HOPS };
             if passed.len() < hops
                 && let Some(verdict) = self.pass_on(arrival, env.service, passed, reason)
@@ -125,8 +125,8 @@
             .timeout(timeout.unwrap_or(attempt_timeout))
     }
 
-    /// Returns how long a request may wait so that its answer still comes within the latency aim of
-    /// its route.
+    /// Returns how long a request may wait so that its answer still comes within the latency
+    /// objective of its route.
     fn time_limit(&self, arrival: Arrival<'_>) -> Duration {
         let route = arrival.context.routes.get(arrival.seg.flow.route());
         let aim = route.and_then(|route| route.latency_aim);
--- a/crates/dillmill-core/src/pending_searches.rs
+++ b/crates/dillmill-core/src/pending_searches.rs
@@ -2,7 +2,7 @@
 //! searches.
 //!
 //! A search may end without a reply: an agent on the way was lost, or one of those asked could not
-//! tell yet. The caller's own next try may be seconds away or come after its deadline, so the
+//! tell yet. The caller's own next attempt may be seconds away or come after its deadline, so the
 //! balancer repeats the search with the packet that it has kept.
 
 use std::time::Duration;
--- a/crates/dillmill-core/tests/flow_gates.rs
+++ b/crates/dillmill-core/tests/flow_gates.rs
@@ -386,7 +386,7 @@
     assert_eq!(gate.load(NOW).requests, 0, "no request of the ended flow is counted");
 }
 
-/// The first heartbeat of a run arrives after its first flows. In a day-long run with targets that
+/// The first heartbeat of a run arrives after its first flows. In a test day with targets that
 /// crash and restart, these flows were mistaken for flows of the earlier run.
 #[test]
 fn flows_of_the_new_run_kept() {
--- a/crates/dillmill-flow/src/agent_task/packets.rs
+++ b/crates/dillmill-flow/src/agent_task/packets.rs
@@ -25,7 +25,7 @@
         self.handle
             .metrics
             .traffic
-            .received(errand_traffic_kind(&envelope.purpose, &seg), buf.len());
+            .received(purpose_traffic_kind(&envelope.purpose, &seg), buf.len());
         self.handle_caller_packet(&seg, packet, envelope, now).await;
     }
 
@@ -40,13 +40,13 @@
         if matches!(envelope.purpose, PacketPurpose::Place { .. }) {
             self.subscribe_to_reports(envelope.origin, now);
         }
-        let known = GateContext {
+        let context = GateContext {
             agents: &self.agents,
             routes: &self.routes,
             settled: self.settled,
             told: self.catch_up.is_complete(),
         };
-        let verdict = self.gate.arrived(seg, &envelope, known, now);
+        let verdict = self.gate.arrived(seg, &envelope, context, now);
         self.apply_verdict(verdict, seg, packet.to_vec(), now).await;
     }
 
@@ -54,13 +54,13 @@
         let returned = packet::decode(&buf, Sender::Caller).ok().filter(|seg| seg.returned);
         if let Some(seg) = returned {
             self.counters.returned.inc();
-            let known = GateContext {
+            let context = GateContext {
                 agents: &self.agents,
                 routes: &self.routes,
                 settled: self.settled,
                 told: self.catch_up.is_complete(),
             };
-            let verdict = self.gate.returned(&seg, known, now);
+            let verdict = self.gate.returned(&seg, context, now);
             return self.apply_verdict(verdict, &seg, buf, now).await;
         }
         let Ok(seg) = packet::decode(&buf, Sender::Target) else {
@@ -195,7 +195,8 @@
         let mut buf = Vec::with_capacity(packet.len() + 64);
         seal_envelope(envelope, &packet, &mut buf);
         let departure = OutboundDatagram { flow: seg.flow, packet: seg.into(), buf, to };
-        self.send_through_uplink(errand_traffic_kind(&envelope.purpose, seg), departure, now).await;
+        self.send_through_uplink(purpose_traffic_kind(&envelope.purpose, seg), departure, now)
+            .await;
     }
 
     pub(super) async fn send_to_caller(&mut self, seg: &Segment, buf: Vec<u8>, now: Timestamp) {
@@ -220,7 +221,7 @@
     }
 }
 
-fn errand_traffic_kind(purpose: &PacketPurpose, seg: &Segment) -> TrafficKind {
+fn purpose_traffic_kind(purpose: &PacketPurpose, seg: &Segment) -> TrafficKind {
     match purpose {
         PacketPurpose::Search(_) | PacketPurpose::Directed { .. } => TrafficKind::Search,
         PacketPurpose::Place { .. } | PacketPurpose::Deliver => traffic_kind(seg),
--- a/crates/dillmill-flow/src/agent_task/waiting.rs
+++ b/crates/dillmill-flow/src/agent_task/waiting.rs
@@ -52,13 +52,13 @@
         }
         while let Some(open) = self.gate.next_waiting(now) {
             let Ok(seg) = packet::decode(&open.packet, Sender::Caller) else { continue };
-            let known = GateContext {
+            let context = GateContext {
                 agents: &self.agents,
                 routes: &self.routes,
                 settled: self.settled,
                 told: self.catch_up.is_complete(),
             };
-            let verdict = self.gate.decide_waiting(&seg, &open.envelope, known, now);
+            let verdict = self.gate.decide_waiting(&seg, &open.envelope, context, now);
             Box::pin(self.apply_verdict(verdict, &seg, open.packet, now)).await;
         }
     }
--- a/crates/dillmill-flow/src/operator_watch.rs
+++ b/crates/dillmill-flow/src/operator_watch.rs
@@ -64,8 +64,8 @@
     view: Option<Arc<View>>,
     after: Option<Version>,
     started: Timestamp,
-    /// A process that has only just started accepts data that is seconds old, as keepers watch for newer
-    /// data.
+    /// A process that has only just started accepts data that is seconds old, as registered processes
+    /// watch for newer data.
     freshness: Freshness,
     peer_wait: PeerWait,
 }
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Returns whether this process is to watch the store: it is among the first keepers, and the store
-    /// answers it.
+    /// Returns whether this process is to watch the store: it is among the first registered processes, and
+    /// the store answers it.
     fn is_selected(&self) -> bool {
         let Some(view) = &self.view else { return false };
         let members = view.members();
--- a/crates/dillmill-flow/src/session.rs
+++ b/crates/dillmill-flow/src/session.rs
@@ -1,9 +1,9 @@
 //! Keeps the process's entry in the store, and finds the other processes.
 //!
 //! Processes find each other through the addresses in their settings and through the entries of a few
-//! keepers ([`store_selection`]), and then communicate directly. An entry only states the address of a process
-//! at the time of writing. Liveness is determined by probes, so an entry that expires or is removed while
-//! its process lives changes nothing.
+//! registered processes ([`store_selection`]), and then communicate directly. An entry only states the
+//! address of a process at the time of writing. Liveness is determined by probes, so an entry that expires
+//! or is removed while its process lives changes nothing.
 
 use std::cmp::Ordering;
 use std::net::SocketAddrV4;
@@ -49,10 +49,10 @@
 /// Time for the seed addresses when the whole system starts for the first time: the store has no entries
 /// yet and no traffic comes for seconds, but thousands of processes would all query the store.
 const SEED_WAIT_FIRST_START: Duration = Duration::from_secs(1);
-/// Least age of a keeper: a younger process does not know all others, and would take itself for a keeper
-/// too early.
-const KEEPER_MIN_AGE: Duration = Duration::from_millis(1500);
-/// Interval at which a process that is not a keeper checks whether it is one now.
+/// Least age of a registered process: a younger process does not know all others, and would take itself for
+/// a registered process too early.
+const REGISTRATION_MIN_AGE: Duration = Duration::from_millis(1500);
+/// Interval at which a process that is not a registered process checks whether it is one now.
 const OFF_DUTY_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Keeps the entry of a process in the store for as long as the process lives.
@@ -112,14 +112,14 @@
         }
     }
 
-    /// Returns whether this process has to contact the store: as a keeper, or because it knows no other
-    /// process.
+    /// Returns whether this process has to contact the store: as a registered process, or because it knows
+    /// no other process.
     fn should_contact_store(&self, now: Timestamp) -> bool {
         let Some(view) = &self.view else { return false };
         if view.members.len() <= 1 {
             return now.since(self.started) >= self.seed_wait(view);
         }
-        now.since(self.started) >= KEEPER_MIN_AGE
+        now.since(self.started) >= REGISTRATION_MIN_AGE
             && store_selection::is_selected(
                 view.me.process,
                 view.members(),
@@ -165,7 +165,7 @@
         if announced == StoreReach::Answers || stale {
             self.announce_reach(StoreReach::Unknown);
         }
-        if now.since(self.started) < KEEPER_MIN_AGE {
+        if now.since(self.started) < REGISTRATION_MIN_AGE {
             STARTUP_POLL_INTERVAL
         } else {
             OFF_DUTY_POLL_INTERVAL
@@ -179,7 +179,7 @@
         }
         // A process that has only just started joins through the entries of others and needs no entry of
         // its own.
-        if self.handle.clock.now().since(self.started) < KEEPER_MIN_AGE {
+        if self.handle.clock.now().since(self.started) < REGISTRATION_MIN_AGE {
             return Ok(());
         }
         match self.lease {
@@ -200,7 +200,8 @@
         self.write_size().await
     }
 
-    /// Writes the fleet's size if this process is the first keeper and the size has changed lastingly.
+    /// Writes the fleet's size if this process is the first registered process and the size has changed
+    /// lastingly.
     async fn write_size(&mut self) -> StoreResult<()> {
         let now = self.handle.clock.now();
         let Some(view) = &self.view else { return Ok(()) };
@@ -241,7 +242,7 @@
         Ok(())
     }
 
-    /// Reads the addresses of the keepers from their entries.
+    /// Reads the addresses of the registered processes from their entries.
     async fn read_peers(&mut self) -> StoreResult<()> {
         // Data that is some seconds old is enough: one address that is still valid leads to a process
         // that knows the others.
--- a/crates/dillmill-node/src/control.rs
+++ b/crates/dillmill-node/src/control.rs
@@ -227,7 +227,9 @@
         match message {
             Message::Probe(probe) => {
                 self.compare_revisions(from, &probe, now).await;
-                let out = with_random_index(|draw| self.membership.receive(from, probe, now, draw));
+                let out = with_random_index(|random_index| {
+                    self.membership.receive(from, probe, now, random_index)
+                });
                 self.send_all(out).await;
                 self.sync_if_wanted();
             }
@@ -276,7 +278,7 @@
         if now < self.announce_after {
             return;
         }
-        let out = with_random_index(|draw| self.membership.tick(now, draw));
+        let out = with_random_index(|random_index| self.membership.tick(now, random_index));
         self.send_all(out).await;
         self.pending_requests.retain(|_, (_, at)| now.since(*at) < REQUEST_LIFETIME);
         self.sync_if_wanted();
--- a/crates/dillmill-node/src/control/evacuations.rs
+++ b/crates/dillmill-node/src/control/evacuations.rs
@@ -41,7 +41,7 @@
         let count = i64::try_from(names.len()).unwrap_or(i64::MAX);
         self.handle.metrics.evacuated.set(count);
         let message = Message::Evacuations(Evacuations::clone(&orders));
-        for to in with_random_index(|draw| self.membership.gossip_peers(draw)) {
+        for to in with_random_index(|random_index| self.membership.gossip_peers(random_index)) {
             self.send(to, &message).await;
         }
     }
--- a/crates/dillmill-node/src/control/peer_sync.rs
+++ b/crates/dillmill-node/src/control/peer_sync.rs
@@ -20,7 +20,9 @@
 
 impl Control {
     pub(super) fn sync_if_wanted(&mut self) {
-        while let Some(peer) = with_random_index(|draw| self.membership.next_sync_peer(draw)) {
+        while let Some(peer) =
+            with_random_index(|random_index| self.membership.next_sync_peer(random_index))
+        {
             self.sync_with(peer);
         }
     }
--- a/crates/dillmill-node/src/control/settings.rs
+++ b/crates/dillmill-node/src/control/settings.rs
@@ -166,7 +166,8 @@
         } else {
             Message::Probe(self.membership.announcement())
         };
-        let peers = with_random_index(|draw| self.membership.random_peers(FANOUT, draw));
+        let peers =
+            with_random_index(|random_index| self.membership.random_peers(FANOUT, random_index));
         for to in peers {
             self.send(to, &message).await;
         }
