--- a/crates/dillmill-standins/tests/flow_soaks.rs
+++ b/crates/dillmill-standins/tests/flow_soaks.rs
@@ -2,7 +2,7 @@
 //!
 //! Seeds that have failed are kept as regression tests:
 //! - 19: idle targets refused a burst of short flows, as an answered flow counted as a request for 30 ms;
-//!   `answered_flow_counts_no_more` tests that decision alone.
+//!   `answered_request_not_counted` tests that decision alone.
 //! - 10: after all faults 11 of 20 opening attempts were reset, in one of 15 runs; the cause is not known,
 //!   see docs/QUESTIONS.md.
 //! - 48: a new flow was answered by the next service of the route before the soak had recorded the change;
